--- a/entry/admin.go
+++ b/entry/admin.go
@@ -19,7 +19,7 @@
 // adminRoutes adds the entry's own routes for operators.
 func (da *Daemon) adminRoutes(ro gin.IRoutes) {
 	ro.GET("/v1/explain/:id", func(co *gin.Context) {
-		ex, ok := da.explains.get(co.Param("id"))
+		ex, ok := da.explanations.get(co.Param("id"))
 		if !ok {
 			co.JSON(http.StatusNotFound, admin.Problem{Error: "this entry does not remember the request"})
 			return
@@ -28,12 +28,12 @@
 	})
 	ro.POST("/v1/drain", func(co *gin.Context) {
 		da.group.Go(da.Drain)
-		co.JSON(http.StatusAccepted, DrainAnswer{Draining: true, InFlight: da.inFlight.Load()})
+		co.JSON(http.StatusAccepted, DrainResponse{Draining: true, InFlight: da.inFlight.Load()})
 	})
 }
 
-// DrainAnswer tells that a graceful shutdown has begun.
-type DrainAnswer struct {
+// DrainResponse tells that a graceful shutdown has begun.
+type DrainResponse struct {
 	Draining bool  `json:"draining"`
 	InFlight int64 `json:"in_flight"`
 }
--- a/entry/answer.go
+++ b/entry/answer.go
@@ -84,39 +84,39 @@
 	Usage   *usage   `json:"usage,omitempty"`
 }
 
-// answer is what has come of an answer so far.
-type answer struct {
-	chunks  int
-	usage   *usage
-	head    chunk
-	choices []choice
+// answerBuilder is what has come of an answer so far.
+type answerBuilder struct {
+	contentChunks int
+	usage         *usage
+	firstChunk    chunk
+	choices       []choice
 }
 
-// add takes in one chunk. Its text is only gathered when gather is set.
-func (an *answer) add(data []byte, gather bool) {
+// addChunk takes in one chunk. Its text is only gathered when gather is set.
+func (an *answerBuilder) addChunk(data []byte, keepText bool) {
 	if us := gjson.GetBytes(data, "usage"); us.IsObject() {
 		an.usage = &usage{}
 		_ = json.Unmarshal([]byte(us.Raw), an.usage)
 	}
 	if gjson.GetBytes(data, "choices.0.delta.content").Str != "" {
-		an.chunks++
+		an.contentChunks++
 	}
-	if !gather {
+	if !keepText {
 		return
 	}
 	var ch chunk
 	if json.Unmarshal(data, &ch) != nil {
 		return
 	}
-	if an.head.ID == "" {
-		an.head = ch
+	if an.firstChunk.ID == "" {
+		an.firstChunk = ch
 	}
 	for _, cc := range ch.Choices {
-		an.choice(cc.Index).merge(cc)
+		an.choiceAt(cc.Index).merge(cc)
 	}
 }
 
-func (an *answer) choice(index int) *choice {
+func (an *answerBuilder) choiceAt(index int) *choice {
 	for i := range an.choices {
 		if an.choices[i].Index == index {
 			return &an.choices[i]
@@ -175,128 +175,128 @@
 }
 
 // completion gives the whole answer.
-func (an *answer) completion() completion {
+func (an *answerBuilder) completion() completion {
 	return completion{
-		ID: an.head.ID, Object: "chat.completion", Created: an.head.Created, Model: an.head.Model,
+		ID: an.firstChunk.ID, Object: "chat.completion", Created: an.firstChunk.Created, Model: an.firstChunk.Model,
 		Choices: an.choices, Usage: an.usage,
 	}
 }
 
 // text gives the first choice's content.
-func (an *answer) text() string {
+func (an *answerBuilder) text() string {
 	if len(an.choices) == 0 || an.choices[0].Message.Content == nil {
 		return ""
 	}
 	return *an.choices[0].Message.Content
 }
 
-// caller is the receiving end of an answer.
-type caller interface {
-	// chunk passes on a chunk; an error means that the caller has gone.
-	chunk(data []byte) error
-	// end completes the answer.
-	end(an answer)
-	// cut ends an answer that cannot be completed.
-	cut(pr problem)
+// answerWriter is the receiving end of an answer.
+type answerWriter interface {
+	// writeChunk passes on a chunk; an error means that the caller has gone.
+	writeChunk(data []byte) error
+	// complete completes the answer.
+	complete(an answerBuilder)
+	// abort ends an answer that cannot be completed.
+	abort(pr problem)
 }
 
-// wholeCaller gets the answer in one piece.
-type wholeCaller struct {
+// bufferedWriter gets the answer in one piece.
+type bufferedWriter struct {
 	co *gin.Context
 }
 
-func (wc *wholeCaller) chunk([]byte) error { return wc.co.Request.Context().Err() }
+func (bw *bufferedWriter) writeChunk([]byte) error { return bw.co.Request.Context().Err() }
 
-func (wc *wholeCaller) end(an answer) {
-	limitWrite(wc.co)
-	wc.co.JSON(http.StatusOK, an.completion())
+func (bw *bufferedWriter) complete(an answerBuilder) {
+	setWriteDeadline(bw.co)
+	bw.co.JSON(http.StatusOK, an.completion())
 }
 
-// limitWrite bounds the time that the caller may take to read what is written
+// setWriteDeadline bounds the time that the caller may take to read what is written
 // next.
-func limitWrite(co *gin.Context) {
-	_ = http.NewResponseController(co.Writer).SetWriteDeadline(time.Now().Add(callerWriteLimit))
+func setWriteDeadline(co *gin.Context) {
+	_ = http.NewResponseController(co.Writer).SetWriteDeadline(time.Now().Add(callerWriteTimeout))
 }
 
-func (wc *wholeCaller) cut(pr problem) { refuse(wc.co, pr) }
+func (bw *bufferedWriter) abort(pr problem) { abortWithProblem(bw.co, pr) }
 
-// streamCaller gets the answer as server-sent events.
-type streamCaller struct {
+// streamWriter gets the answer as server-sent events.
+type streamWriter struct {
 	co           *gin.Context
 	rc           *http.ResponseController
 	includeUsage bool
-	// last is the chunk with the finish reason. It waits for the usage, and
+	// finalChunk is the chunk with the finish reason. It waits for the usage, and
 	// for the bill, before it goes to the caller.
-	last  []byte
-	usage []byte
+	finalChunk []byte
+	usageChunk []byte
 }
 
-func newStreamCaller(co *gin.Context, includeUsage bool) *streamCaller {
+func newStreamWriter(co *gin.Context, includeUsage bool) *streamWriter {
 	he := co.Writer.Header()
 	he.Set("Content-Type", "text/event-stream")
 	he.Set("Cache-Control", "no-cache")
 	co.Writer.WriteHeader(http.StatusOK)
-	return &streamCaller{co: co, rc: http.NewResponseController(co.Writer), includeUsage: includeUsage}
+	return &streamWriter{co: co, rc: http.NewResponseController(co.Writer), includeUsage: includeUsage}
 }
 
-func (sc *streamCaller) chunk(data []byte) error {
+func (sw *streamWriter) writeChunk(data []byte) error {
 	switch {
 	case gjson.GetBytes(data, "choices.0.finish_reason").Str != "":
-		sc.last = append([]byte(nil), data...)
+		sw.finalChunk = append([]byte(nil), data...)
 		return nil
 	case gjson.GetBytes(data, "usage").IsObject() && len(gjson.GetBytes(data, "choices").Array()) == 0:
-		sc.usage = append([]byte(nil), data...)
+		sw.usageChunk = append([]byte(nil), data...)
 		return nil
 	}
-	return sc.send(data)
+	return sw.writeEvent(data)
 }
 
-// send writes one event. A caller that reads too slowly is given up.
-func (sc *streamCaller) send(data []byte) error {
-	_ = sc.rc.SetWriteDeadline(time.Now().Add(callerWriteLimit))
+// writeEvent writes one event. A caller that reads too slowly is given up.
+func (sw *streamWriter) writeEvent(data []byte) error {
+	_ = sw.rc.SetWriteDeadline(time.Now().Add(callerWriteTimeout))
 	buf := make([]byte, 0, len(data)+8)
 	buf = append(buf, "data: "...)
 	buf = append(buf, data...)
 	buf = append(buf, "\n\n"...)
-	if _, err := sc.co.Writer.Write(buf); err != nil {
+	if _, err := sw.co.Writer.Write(buf); err != nil {
 		return err
 	}
-	return sc.rc.Flush()
+	return sw.rc.Flush()
 }
 
-func (sc *streamCaller) end(an answer) {
-	if sc.last != nil {
+func (sw *streamWriter) complete(an answerBuilder) {
+	if sw.finalChunk != nil {
 		if us, err := json.Marshal(an.usage); err == nil && an.usage != nil {
-			if text, err := sjson.SetRawBytes(sc.last, "usage", us); err == nil {
-				sc.last = text
+			if text, err := sjson.SetRawBytes(sw.finalChunk, "usage", us); err == nil {
+				sw.finalChunk = text
 			}
 		}
-		_ = sc.send(sc.last)
+		_ = sw.writeEvent(sw.finalChunk)
 	}
-	if sc.includeUsage && sc.usage != nil {
-		_ = sc.send(sc.usage)
+	if sw.includeUsage && sw.usageChunk != nil {
+		_ = sw.writeEvent(sw.usageChunk)
 	}
-	_ = sc.send([]byte("[DONE]"))
+	_ = sw.writeEvent([]byte("[DONE]"))
 }
 
-// cut tells the caller that the answer is not whole; the stream then ends
+// abort tells the caller that the answer is not whole; the stream then ends
 // without the event that completes one.
-func (sc *streamCaller) cut(pr problem) {
+func (sw *streamWriter) abort(pr problem) {
 	text, err := json.Marshal(pr.body())
 	if err != nil {
 		return
 	}
-	_ = sc.send(text)
+	_ = sw.writeEvent(text)
 }
 
-// rated tells whether the answer's text goes to the rating service.
-func (an *answering) rated() bool {
-	return an.daemon.ratings != nil && an.chat.willRate(an)
+// shouldRate tells whether the answer's text goes to the rating service.
+func (an *answerRelay) shouldRate() bool {
+	return an.daemon.ratings != nil && an.chat.inRatingSample(an)
 }
 
-// rate hands the answer to the rating service.
-func (an *answering) rate() {
-	if !an.rated() {
+// submitForRating hands the answer to the rating service.
+func (an *answerRelay) submitForRating() {
+	if !an.shouldRate() {
 		return
 	}
 	an.daemon.ratings.submit(ratingAnswer(an))
--- a/entry/caller.go
+++ b/entry/caller.go
@@ -48,15 +48,15 @@
 )
 
 const (
-	keyOrganisation = "organisation"
-	maxIDBytes      = 256
-	// maxDrainedBytes of a body that is too large are read and dropped.
-	maxDrainedBytes  = 1 << 20
-	isolatedRetry    = 2 * time.Second
-	overloadedRetry  = time.Second
-	maxDeadline      = 24 * time.Hour
-	codeInvalid      = "invalid_request"
-	codeUnauthorised = "invalid_api_key"
+	organisationContextKey = "organisation"
+	maxIDBytes             = 256
+	// maxDiscardedBytes of a body that is too large are read and dropped.
+	maxDiscardedBytes    = 1 << 20
+	isolatedRetryDelay   = 2 * time.Second
+	overloadedRetryDelay = time.Second
+	maxDeadline          = 24 * time.Hour
+	codeInvalid          = "invalid_request"
+	codeUnauthorised     = "invalid_api_key"
 )
 
 // problem is an answer that is an error.
@@ -105,8 +105,8 @@
 	}
 }
 
-// refuse answers at once with an error, and when to come back.
-func refuse(co *gin.Context, pr problem) {
+// abortWithProblem answers at once with an error, and when to come back.
+func abortWithProblem(co *gin.Context, pr problem) {
 	body := pr.body()
 	co.Header(HeaderRan, string(body.Error.Ran))
 	if !pr.retryAt.IsZero() {
@@ -116,18 +116,18 @@
 	co.AbortWithStatusJSON(pr.status, body)
 }
 
-func invalid(param, message string) *problem {
+func invalidRequest(param, message string) *problem {
 	return &problem{status: http.StatusBadRequest, code: codeInvalid, param: param, message: message}
 }
 
-// limit bounds the requests in service and the time to read one.
-func (da *Daemon) limit(co *gin.Context) {
+// limitRequests bounds the requests in service and the time to read one.
+func (da *Daemon) limitRequests(co *gin.Context) {
 	n := da.inFlight.Add(1)
 	defer da.inFlight.Add(-1)
-	if n > da.set.GetServing().GetMaxRequests() {
-		refuse(co, problem{
+	if n > da.settings.GetServing().GetMaxRequests() {
+		abortWithProblem(co, problem{
 			status: http.StatusServiceUnavailable, code: "too_many_requests_in_service",
-			message: "this entry serves as many requests as it may", retryAt: time.Now().Add(overloadedRetry),
+			message: "this entry serves as many requests as it may", retryAt: time.Now().Add(overloadedRetryDelay),
 		})
 		return
 	}
@@ -141,40 +141,40 @@
 
 // authenticate finds the caller's organisation by its key.
 func (da *Daemon) authenticate(co *gin.Context) {
-	if pr := da.notAccepting(); pr != nil {
-		refuse(co, *pr)
+	if pr := da.acceptProblem(); pr != nil {
+		abortWithProblem(co, *pr)
 		return
 	}
 	key, ok := strings.CutPrefix(co.GetHeader("Authorization"), "Bearer ")
 	if !ok {
-		refuse(co, problem{status: http.StatusUnauthorized, code: codeUnauthorised, message: "a caller's key is required: Authorization: Bearer KEY"})
+		abortWithProblem(co, problem{status: http.StatusUnauthorized, code: codeUnauthorised, message: "a caller's key is required: Authorization: Bearer KEY"})
 		return
 	}
 	or, ok := da.holder.Set().OrganisationByKey(key)
 	if !ok {
-		refuse(co, problem{status: http.StatusUnauthorized, code: codeUnauthorised, message: "the caller's key is not known"})
+		abortWithProblem(co, problem{status: http.StatusUnauthorized, code: codeUnauthorised, message: "the caller's key is not known"})
 		return
 	}
-	if pr := da.orgs.enter(or, 1+len(da.peers.Entries())); pr != nil {
-		refuse(co, *pr)
+	if pr := da.orgLimits.acquire(or, 1+len(da.peers.Entries())); pr != nil {
+		abortWithProblem(co, *pr)
 		return
 	}
-	defer da.orgs.leave(or.ID)
-	co.Set(keyOrganisation, string(or.ID))
+	defer da.orgLimits.release(or.ID)
+	co.Set(organisationContextKey, string(or.ID))
 	co.Next()
 }
 
-// notAccepting tells why new requests are refused by this entry as a whole.
-func (da *Daemon) notAccepting() *problem {
+// acceptProblem tells why new requests are refused by this entry as a whole.
+func (da *Daemon) acceptProblem() *problem {
 	if da.book.Full() {
 		return unavailable("bills_full", "this entry cannot keep more bills")
 	}
-	return da.cannotSend()
+	return da.sendProblem()
 }
 
-// cannotSend tells why nothing may be sent by this entry as a whole, whether it
+// sendProblem tells why nothing may be sent by this entry as a whole, whether it
 // was accepted before or not.
-func (da *Daemon) cannotSend() *problem {
+func (da *Daemon) sendProblem() *problem {
 	if da.holder.Set().Revision == 0 {
 		return unavailable("no_configuration", "this entry has no configuration yet")
 	}
@@ -185,7 +185,7 @@
 }
 
 func unavailable(code, message string) *problem {
-	return &problem{status: http.StatusServiceUnavailable, code: code, message: message, retryAt: time.Now().Add(isolatedRetry)}
+	return &problem{status: http.StatusServiceUnavailable, code: code, message: message, retryAt: time.Now().Add(isolatedRetryDelay)}
 }
 
 // request is one caller's request.
@@ -202,7 +202,7 @@
 // readRequest reads what all requests have; defaultDeadline is used when the
 // caller names none.
 func (da *Daemon) readRequest(co *gin.Context, se *policy.Set, defaultDeadline func(ra policy.Rank, arrived time.Time) time.Time) (*request, *problem) {
-	rq := &request{arrived: time.Now(), organisation: policy.OrganisationID(co.GetString(keyOrganisation)), billID: ulid.Make().String()}
+	rq := &request{arrived: time.Now(), organisation: policy.OrganisationID(co.GetString(organisationContextKey)), billID: ulid.Make().String()}
 	or, _ := se.Organisations.ByID(rq.organisation)
 	var pr *problem
 	if rq.id, pr = requestID(co); pr != nil {
@@ -211,12 +211,12 @@
 	var ok bool
 	name := policy.RankID(co.GetHeader(HeaderRank))
 	if rq.rank, ok = se.RankOrDefault(or, name); !ok {
-		return nil, invalid(HeaderRank, "no rank "+strconv.Quote(string(name)))
+		return nil, invalidRequest(HeaderRank, "no rank "+strconv.Quote(string(name)))
 	}
 	if !or.AllowsRank(rq.rank.ID) {
 		return nil, &problem{status: http.StatusForbidden, code: "rank_not_allowed", param: HeaderRank, message: "the organisation may not use rank " + strconv.Quote(string(rq.rank.ID))}
 	}
-	if rq.deadline, pr = deadlineOf(co, rq, defaultDeadline); pr != nil {
+	if rq.deadline, pr = requestDeadline(co, rq, defaultDeadline); pr != nil {
 		return nil, pr
 	}
 	if rq.body, pr = da.readBody(co); pr != nil {
@@ -232,32 +232,32 @@
 		return ulid.Make().String(), nil
 	}
 	if len(id) > maxIDBytes {
-		return "", invalid(HeaderRequestID, "longer than 256 bytes")
+		return "", invalidRequest(HeaderRequestID, "longer than 256 bytes")
 	}
 	return id, nil
 }
 
-func deadlineOf(co *gin.Context, rq *request, byDefault func(ra policy.Rank, arrived time.Time) time.Time) (time.Time, *problem) {
+func requestDeadline(co *gin.Context, rq *request, defaultDeadline func(ra policy.Rank, arrived time.Time) time.Time) (time.Time, *problem) {
 	text := co.GetHeader(HeaderDeadline)
 	if text == "" {
-		return byDefault(rq.rank, rq.arrived), nil
+		return defaultDeadline(rq.rank, rq.arrived), nil
 	}
 	ms, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || ms <= 0 || ms > maxDeadline.Milliseconds() {
-		return time.Time{}, invalid(HeaderDeadline, "not a number of milliseconds from 1 to a day")
+		return time.Time{}, invalidRequest(HeaderDeadline, "not a number of milliseconds from 1 to a day")
 	}
 	return rq.arrived.Add(time.Duration(ms) * time.Millisecond), nil
 }
 
 func (da *Daemon) readBody(co *gin.Context) ([]byte, *problem) {
-	limit := da.set.GetServing().GetMaxBodyBytes()
+	limit := da.settings.GetServing().GetMaxBodyBytes()
 	body, err := io.ReadAll(io.LimitReader(co.Request.Body, limit+1))
 	switch {
 	case err != nil:
 		return nil, &problem{status: http.StatusRequestTimeout, code: "body_unreadable", message: "the body could not be read in time"}
 	case int64(len(body)) > limit:
 		// A caller that is still writing reads the answer only afterwards.
-		_, _ = io.CopyN(io.Discard, co.Request.Body, maxDrainedBytes)
+		_, _ = io.CopyN(io.Discard, co.Request.Body, maxDiscardedBytes)
 		return nil, &problem{status: http.StatusRequestEntityTooLarge, code: "body_too_large", message: "the body is larger than " + strconv.FormatInt(limit, 10) + " bytes"}
 	}
 	_ = http.NewResponseController(co.Writer).SetReadDeadline(time.Time{})
@@ -284,8 +284,8 @@
 	return pr
 }
 
-// count records how a request ended.
-func (da *Daemon) count(co *gin.Context, rq *request, outcome string) {
+// recordRequest records how a request ended.
+func (da *Daemon) recordRequest(co *gin.Context, rq *request, outcome string) {
 	da.metrics.Requests.Add(co, 1, metric.With(
 		metric.KeyRank, string(rq.rank.ID), metric.KeyOrganisation, string(rq.organisation), metric.KeyOutcome, outcome))
 	da.metrics.Latency.Record(co, time.Since(rq.arrived).Seconds(), metric.With(metric.KeyRank, string(rq.rank.ID)))
--- a/entry/cascades.go
+++ b/entry/cascades.go
@@ -20,23 +20,23 @@
 //
 // mu guards the choosers. The board's lock is taken before it.
 type cascades struct {
-	peers    *peer.Group
-	mu       sync.Mutex
-	choosers map[policy.CascadeID]*cascade.Chooser
-	seen     map[string]peer.Version
+	peers        *peer.Group
+	mu           sync.Mutex
+	choosers     map[policy.CascadeID]*cascade.Chooser
+	seenVersions map[string]peer.Version
 }
 
 func newCascades(pe *peer.Group) *cascades {
-	return &cascades{peers: pe, choosers: map[policy.CascadeID]*cascade.Chooser{}, seen: map[string]peer.Version{}}
+	return &cascades{peers: pe, choosers: map[policy.CascadeID]*cascade.Chooser{}, seenVersions: map[string]peer.Version{}}
 }
 
 func (ca *cascades) choose(rec policy.Cascade, work cascade.Work, arms []cascade.Arm) cascade.Choice {
 	ca.mu.Lock()
 	defer ca.mu.Unlock()
-	return ca.get(rec.ID).Choose(work, arms, rec.QualityTarget)
+	return ca.getLocked(rec.ID).Choose(work, arms, rec.QualityTarget)
 }
 
-func (ca *cascades) get(id policy.CascadeID) *cascade.Chooser {
+func (ca *cascades) getLocked(id policy.CascadeID) *cascade.Chooser {
 	ch, ok := ca.choosers[id]
 	if !ok {
 		ch = cascade.NewChooser(uint64(time.Now().UnixNano()))
@@ -51,15 +51,15 @@
 	ca.mu.Lock()
 	defer ca.mu.Unlock()
 	for _, it := range its {
-		if ca.seen[it.Key] == it.Version {
+		if ca.seenVersions[it.Key] == it.Version {
 			continue
 		}
-		ca.seen[it.Key] = it.Version
+		ca.seenVersions[it.Key] = it.Version
 		var ras rpc.Ratings
 		if proto.Unmarshal(it.Value, &ras) != nil {
 			continue
 		}
-		ch := ca.get(policy.CascadeID(it.Key[len(RatingsPrefix):]))
+		ch := ca.getLocked(policy.CascadeID(it.Key[len(RatingsPrefix):]))
 		for _, su := range ras.GetSums() {
 			ch.SetEstimate(cascade.Work(su.GetWork()), policy.VersionID(su.GetVersion()), su.GetWeight(), su.GetMean())
 		}
--- a/entry/chat.go
+++ b/entry/chat.go
@@ -17,17 +17,17 @@
 // bytesPerToken estimates a prompt's tokens.
 const bytesPerToken = 4
 
-// chat is a chat completion request.
-type chat struct {
+// chatRequest is a chat completion request.
+type chatRequest struct {
 	*request
-	name         string
-	work         cascade.Work
-	stream       bool
-	includeUsage bool
-	maxTokens    int64
-	sessionToken string
-	sessionID    session.ID
-	strict       bool
+	modelName     string
+	work          cascade.Work
+	stream        bool
+	includeUsage  bool
+	maxTokens     int64
+	sessionToken  string
+	sessionID     session.ID
+	strictSession bool
 	// sent tells that a byte of the request may have reached an endpoint.
 	sent bool
 }
@@ -36,47 +36,47 @@
 func (da *Daemon) handleChat(co *gin.Context) {
 	rq, pr := da.readRequest(co, da.holder.Set(), policy.Rank.Deadline)
 	if pr != nil {
-		refuse(co, *pr)
+		abortWithProblem(co, *pr)
 		return
 	}
 	ch, pr := parseChat(co, rq)
 	if pr != nil {
-		da.count(co, rq, "invalid")
-		refuse(co, *pr)
+		da.recordRequest(co, rq, "invalid")
+		abortWithProblem(co, *pr)
 		return
 	}
 	da.budget.Received()
 	da.serveChat(co, ch)
 }
 
-func parseChat(co *gin.Context, rq *request) (*chat, *problem) {
+func parseChat(co *gin.Context, rq *request) (*chatRequest, *problem) {
 	if !gjson.ValidBytes(rq.body) {
-		return nil, invalid("", "the body is not JSON")
+		return nil, invalidRequest("", "the body is not JSON")
 	}
 	body := gjson.ParseBytes(rq.body)
-	ch := &chat{
-		request: rq, name: body.Get("model").Str,
-		work:         cascade.Work(co.GetHeader(HeaderWork)),
-		stream:       body.Get("stream").Bool(),
-		includeUsage: body.Get("stream_options.include_usage").Bool(),
-		sessionToken: co.GetHeader(HeaderSession),
-		sessionID:    session.ID(co.GetHeader(HeaderSessionID)),
-		strict:       co.GetHeader(HeaderSessionStrict) == "true",
+	ch := &chatRequest{
+		request: rq, modelName: body.Get("model").Str,
+		work:          cascade.Work(co.GetHeader(HeaderWork)),
+		stream:        body.Get("stream").Bool(),
+		includeUsage:  body.Get("stream_options.include_usage").Bool(),
+		sessionToken:  co.GetHeader(HeaderSession),
+		sessionID:     session.ID(co.GetHeader(HeaderSessionID)),
+		strictSession: co.GetHeader(HeaderSessionStrict) == "true",
 	}
 	switch {
-	case ch.name == "":
-		return nil, invalid("model", "the model is missing")
+	case ch.modelName == "":
+		return nil, invalidRequest("model", "the model is missing")
 	case !body.Get("messages").IsArray() || len(body.Get("messages").Array()) == 0:
-		return nil, invalid("messages", "the messages are missing")
+		return nil, invalidRequest("messages", "the messages are missing")
 	case len(ch.work) > maxIDBytes:
-		return nil, invalid(HeaderWork, "longer than 256 bytes")
+		return nil, invalidRequest(HeaderWork, "longer than 256 bytes")
 	case len(ch.sessionID) > maxIDBytes:
-		return nil, invalid(HeaderSessionID, "longer than 256 bytes")
+		return nil, invalidRequest(HeaderSessionID, "longer than 256 bytes")
 	}
 	for _, path := range []string{"max_completion_tokens", "max_tokens"} {
 		if va := body.Get(path); va.Exists() {
 			if va.Type != gjson.Number || va.Int() < 1 {
-				return nil, invalid(path, "not a positive whole number")
+				return nil, invalidRequest(path, "not a positive whole number")
 			}
 			ch.maxTokens = va.Int()
 		}
@@ -86,7 +86,7 @@
 
 // engineBody gives the body for an engine: the caller's, with the engine's
 // name of the version, a priority, and always streamed with usage.
-func (ch *chat) engineBody(ve policy.Version) ([]byte, error) {
+func (ch *chatRequest) engineBody(ve policy.Version) ([]byte, error) {
 	body := ch.body
 	for _, fi := range []struct {
 		path  string
@@ -105,18 +105,18 @@
 	return body, nil
 }
 
-func (ch *chat) promptTokens() policy.Tokens {
+func (ch *chatRequest) promptTokens() policy.Tokens {
 	return policy.Tokens(len(ch.body) / bytesPerToken)
 }
 
-func (ch *chat) prefix(ve policy.Version) placement.Prefix {
+func (ch *chatRequest) prefix(ve policy.Version) placement.Prefix {
 	return placement.HashPrefix(ch.organisation, ve.ID, []byte(gjson.GetBytes(ch.body, "messages").Raw))
 }
 
 // handleModels serves GET /v1/models: what the organisation may name.
 func (da *Daemon) handleModels(co *gin.Context) {
 	se := da.holder.Set()
-	or, _ := se.Organisations.ByID(policy.OrganisationID(co.GetString(keyOrganisation)))
+	or, _ := se.Organisations.ByID(policy.OrganisationID(co.GetString(organisationContextKey)))
 	list := modelList{Object: "list", Data: []modelItem{}}
 	add := func(id string) {
 		list.Data = append(list.Data, modelItem{ID: id, Object: "model", OwnedBy: "tanagerpoint"})
--- a/entry/connection.go
+++ b/entry/connection.go
@@ -19,8 +19,8 @@
 	return &connections{states: map[net.Conn]http.ConnState{}}
 }
 
-// note is an http.Server's ConnState hook.
-func (cs *connections) note(co net.Conn, st http.ConnState) {
+// track is an http.Server's ConnState hook.
+func (cs *connections) track(co net.Conn, st http.ConnState) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	if st == http.StateClosed || st == http.StateHijacked {
--- a/entry/entries.go
+++ b/entry/entries.go
@@ -14,16 +14,16 @@
 
 // handleEntries serves GET /v1/entries.
 func (da *Daemon) handleEntries(co *gin.Context) {
-	sts := []directory.Candidate{}
+	cas := []directory.Candidate{}
 	if !da.isolated.Load() {
 		self := da.peerOptions().Self
-		sts = append(sts, directory.Candidate{
+		cas = append(cas, directory.Candidate{
 			VM: da.peers.VM(), Address: self.GetCallersAddress(), FailureDomain: da.peers.FailureDomain(),
 			Draining: da.draining.Load(), InFlight: da.inFlight.Load(),
 		})
 	}
 	for _, mb := range da.peers.Entries() {
-		sts = append(sts, directory.Candidate{VM: mb.VM, Address: mb.CallersAddress, FailureDomain: mb.FailureDomain, Draining: mb.Draining, InFlight: mb.InFlight})
+		cas = append(cas, directory.Candidate{VM: mb.VM, Address: mb.CallersAddress, FailureDomain: mb.FailureDomain, Draining: mb.Draining, InFlight: mb.InFlight})
 	}
 	leaving := map[vm.ID]bool{}
 	for _, v := range da.vms.Entries() {
@@ -31,9 +31,9 @@
 	}
 	domain := policy.FailureDomain(co.GetHeader(HeaderFailureDomain))
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	keep := da.set.GetServing().GetAddressKeep().AsDuration()
+	keep := da.settings.GetServing().GetAddressKeep().AsDuration()
 	co.JSON(http.StatusOK, directory.Addresses{
-		Entries:   directory.Answer(sts, func(id vm.ID) bool { return leaving[id] }, domain, rng),
+		Entries:   directory.Answer(cas, func(id vm.ID) bool { return leaving[id] }, domain, rng),
 		KeepUntil: time.Now().Add(keep).UTC(), KeepMS: keep.Milliseconds(),
 	})
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -35,46 +35,46 @@
 )
 
 const (
-	readHeaderTimeout = 5 * time.Second
-	readBodyTimeout   = 15 * time.Second
-	callerWriteLimit  = 10 * time.Second
-	maxHeaderBytes    = 32 << 10
-	tickInterval      = 100 * time.Millisecond
-	refreshInterval   = 300 * time.Millisecond
-	publishInterval   = 400 * time.Millisecond
-	pinSpreadInterval = time.Second
+	readHeaderTimeout   = 5 * time.Second
+	readBodyTimeout     = 15 * time.Second
+	callerWriteTimeout  = 10 * time.Second
+	maxHeaderBytes      = 32 << 10
+	tickInterval        = 100 * time.Millisecond
+	refreshInterval     = 300 * time.Millisecond
+	publishInterval     = 400 * time.Millisecond
+	pinHandoverInterval = time.Second
 )
 
 // Daemon is one entry. Its parts are safe for concurrent use, and each states
 // its own lock; no lock of one part is held during a call of another, except
 // where a part says so.
 type Daemon struct {
-	set     *rpc.EntrySettings
-	net     network.Network
-	log     *event.Log
-	metrics *metric.Metrics
-	group   *worker.Group
-	started time.Time
+	settings *rpc.EntrySettings
+	net      network.Network
+	log      *event.Log
+	metrics  *metric.Metrics
+	group    *worker.Group
+	started  time.Time
 
-	store    *store.Client
-	holder   *configuration.Holder
-	watcher  *configuration.Watcher
-	vms      *vm.List
-	peers    *peer.Group
-	client   *endpoint.Client
-	tracker  *placement.Tracker
-	pools    *pools
-	budget   *retry.Budget
-	pins     *session.Pins
-	signer   *session.Signer
-	claimer  *claim.Claimer
-	book     *bill.Book
-	cascades *cascades
-	rollouts *rollouts
-	ratings  *ratingSubmitter
-	explains *explains
-	orgs     *inFlights
-	conns    *connections
+	store        *store.Client
+	holder       *configuration.Holder
+	watcher      *configuration.Watcher
+	vms          *vm.List
+	peers        *peer.Group
+	client       *endpoint.Client
+	tracker      *placement.Tracker
+	pools        *pools
+	budget       *retry.Budget
+	pins         *session.Pins
+	signer       *session.Signer
+	claimer      *claim.Claimer
+	book         *bill.Book
+	cascades     *cascades
+	rollouts     *rollouts
+	ratings      *ratingSubmitter
+	explanations *explanations
+	orgLimits    *inFlightLimiter
+	conns        *connections
 
 	draining atomic.Bool
 	isolated atomic.Bool
@@ -88,15 +88,15 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "entry.New")
 	}
-	da := &Daemon{set: es, net: ne, log: lo, metrics: me, group: worker.NewGroup(), started: time.Now(), conns: newConnections()}
-	da.connect()
-	da.decide()
+	da := &Daemon{settings: es, net: ne, log: lo, metrics: me, group: worker.NewGroup(), started: time.Now(), conns: newConnections()}
+	da.initClients()
+	da.initServing()
 	return da, eris.Wrap(da.addGauges(), "entry.New")
 }
 
-// connect makes the parts that reach others.
-func (da *Daemon) connect() {
-	es := da.set
+// initClients makes the parts that reach others.
+func (da *Daemon) initClients() {
+	es := da.settings
 	da.store = store.NewClient(store.OptionsOf(es.GetStore(), da.net.Dial))
 	prefix := store.Key(es.GetStore().GetPrefix())
 	da.holder = configuration.NewHolder(da.log)
@@ -112,42 +112,42 @@
 	}, da.store, da.peers, da.log)
 }
 
-// decide makes the parts that hold the decisions.
-func (da *Daemon) decide() {
+// initServing makes the parts that hold the decisions.
+func (da *Daemon) initServing() {
 	da.tracker = placement.NewTracker(uint64(time.Now().UnixNano()))
 	da.pools = newPools(da)
-	da.budget = retry.NewBudget(da.set.GetServing().GetRetryBudget())
+	da.budget = retry.NewBudget(da.settings.GetServing().GetRetryBudget())
 	da.pins = session.NewPins(da.peers)
-	da.signer = session.NewSigner(da.set.GetPeers().GetSharedKey())
+	da.signer = session.NewSigner(da.settings.GetPeers().GetSharedKey())
 	da.cascades = newCascades(da.peers)
 	da.rollouts = newRollouts(da.peers, da.holder, da.log)
-	da.explains = newExplains()
-	da.orgs = newInFlights()
-	if ur := da.set.GetPlatform().GetRatingUrl(); ur != "" {
+	da.explanations = newExplanations()
+	da.orgLimits = newInFlightLimiter()
+	if ur := da.settings.GetPlatform().GetRatingUrl(); ur != "" {
 		da.ratings = newRatingSubmitter(rating.NewService(ur, da.net))
 	}
 }
 
 func (da *Daemon) peerOptions() peer.Options {
-	es := da.set
+	es := da.settings
 	public := es.GetListen().GetCallersPublic()
 	if public == "" {
 		public = es.GetListen().GetCallers()
 	}
 	opt := peer.OptionsOf(es, peer.RoleEntry)
 	opt.Self.CallersAddress = public
-	opt.Listed, opt.Describe = da.vms.EntryAddresses, da.describe
+	opt.Listed, opt.Describe = da.vms.EntryAddresses, da.describeMember
 	return opt
 }
 
-func (da *Daemon) describe(me *rpc.Member) {
+func (da *Daemon) describeMember(me *rpc.Member) {
 	me.Draining = da.draining.Load()
-	me.InFlight = roughly(da.inFlight.Load())
+	me.InFlight = roundDown(da.inFlight.Load())
 }
 
-// roughly rounds down to two significant bits, so that the members' states
+// roundDown rounds down to two significant bits, so that the members' states
 // need not be sent again for every request.
-func roughly(n int64) int64 {
+func roundDown(n int64) int64 {
 	if n < 4 {
 		return n
 	}
@@ -157,7 +157,7 @@
 
 // Start opens the listeners and starts the daemon's work.
 func (da *Daemon) Start() error {
-	ls := da.set.GetListen()
+	ls := da.settings.GetListen()
 	peers := peer.NewServer(da.peers, da.book, da.pins)
 	for _, sv := range []struct {
 		address string
@@ -174,7 +174,7 @@
 	da.group.Go(da.watcher.Run)
 	da.group.Go(da.vms.Run)
 	da.group.Go(da.peers.Run)
-	da.group.Go(func(ctx context.Context) { da.pins.Run(ctx, pinSpreadInterval) })
+	da.group.Go(func(ctx context.Context) { da.pins.Run(ctx, pinHandoverInterval) })
 	da.group.Every(tickInterval, da.tick)
 	da.group.Every(refreshInterval, da.refresh)
 	da.group.Every(publishInterval, da.publish)
@@ -186,7 +186,7 @@
 }
 
 func (da *Daemon) serve(address string, ha http.Handler) error {
-	sv := &http.Server{Handler: ha, ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes, ConnState: da.conns.note}
+	sv := &http.Server{Handler: ha, ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes, ConnState: da.conns.track}
 	da.servers = append(da.servers, sv)
 	return da.net.Serve(da.group, address, sv, func(err error) {
 		da.log.Warn(event.ListenerFailed, err, event.Fields{"address": address})
@@ -195,7 +195,7 @@
 
 // tick brings the decisions up to the present.
 func (da *Daemon) tick(context.Context) {
-	da.noteIsolation()
+	da.updateIsolation()
 	da.pools.tick()
 }
 
@@ -221,7 +221,7 @@
 	}
 	da.log.Info(event.Draining, event.Fields{"in_flight": da.inFlight.Load()})
 	da.peers.Announce(ctx)
-	worker.Sleep(ctx, da.set.GetServing().GetAddressKeep().AsDuration())
+	worker.Sleep(ctx, da.settings.GetServing().GetAddressKeep().AsDuration())
 	for da.inFlight.Load() > 0 {
 		if !worker.Sleep(ctx, tickInterval/2) {
 			return
@@ -249,8 +249,8 @@
 	da.log.Info(event.Stopped, nil)
 }
 
-// ForcePolicy brings records into force without a store, as a peer's would be.
-func (da *Daemon) ForcePolicy(records []policy.Stored) {
+// ApplyPolicy brings records into force without a store, as a peer's would be.
+func (da *Daemon) ApplyPolicy(records []policy.Stored) {
 	newest := store.Revision(0)
 	for _, st := range records {
 		newest = max(newest, st.ModRevision)
@@ -264,13 +264,13 @@
 	en.HandleMethodNotAllowed = true
 	en.Use(gin.CustomRecoveryWithWriter(nil, func(co *gin.Context, cause any) {
 		da.log.Warn(event.RequestPanicked, eris.Errorf("%v", cause), event.Fields{"stack": string(debug.Stack())})
-		refuse(co, problem{status: http.StatusInternalServerError, code: "internal", ran: RanUnknown, message: "internal error"})
+		abortWithProblem(co, problem{status: http.StatusInternalServerError, code: "internal", ran: RanUnknown, message: "internal error"})
 	}))
 	en.NoRoute(func(co *gin.Context) {
-		refuse(co, problem{status: http.StatusNotFound, code: "unknown_path", message: "no such path"})
+		abortWithProblem(co, problem{status: http.StatusNotFound, code: "unknown_path", message: "no such path"})
 	})
 	en.GET("/v1/entries", da.handleEntries)
-	ca := en.Group("/", da.limit, da.authenticate)
+	ca := en.Group("/", da.limitRequests, da.authenticate)
 	ca.POST("/v1/chat/completions", da.handleChat)
 	ca.GET("/v1/models", da.handleModels)
 	ca.Any("/v1/services/:service/*path", da.handleService)
--- a/entry/explain.go
+++ b/entry/explain.go
@@ -11,29 +11,29 @@
 )
 
 const (
-	// maxExplained is how many requests are remembered.
-	maxExplained = 4096
+	// maxExplanations is how many requests are remembered.
+	maxExplanations = 4096
 	// maxSteps bounds the steps remembered of one request.
 	maxSteps = 32
 )
 
-// explains remembers why the last requests went where they did.
-type explains struct {
-	byID *lru.Cache[string, *explain]
+// explanations remembers why the last requests went where they did.
+type explanations struct {
+	byID *lru.Cache[string, *stepLog]
 }
 
-func newExplains() *explains {
-	ca, err := lru.New[string, *explain](maxExplained)
+func newExplanations() *explanations {
+	ca, err := lru.New[string, *stepLog](maxExplanations)
 	if err != nil {
 		panic(err)
 	}
-	return &explains{byID: ca}
+	return &explanations{byID: ca}
 }
 
-// explain collects one request's steps.
-type explain struct {
-	mu sync.Mutex
-	ex Explanation
+// stepLog collects one request's steps.
+type stepLog struct {
+	mu          sync.Mutex
+	explanation Explanation
 }
 
 // Explanation is why a request went where it did.
@@ -52,28 +52,28 @@
 	Text string    `json:"text"`
 }
 
-func (ex *explains) start(rq *request) *explain {
-	out := &explain{ex: Explanation{
+func (exs *explanations) startRequest(rq *request) *stepLog {
+	out := &stepLog{explanation: Explanation{
 		RequestID: rq.id, BillID: rq.billID, Organisation: rq.organisation, Arrived: rq.arrived, Deadline: rq.deadline,
 	}}
-	ex.byID.Add(rq.id, out)
+	exs.byID.Add(rq.id, out)
 	return out
 }
 
-func (ex *explains) get(id string) (Explanation, bool) {
-	out, ok := ex.byID.Get(id)
+func (exs *explanations) get(id string) (Explanation, bool) {
+	out, ok := exs.byID.Get(id)
 	if !ok {
 		return Explanation{}, false
 	}
 	out.mu.Lock()
 	defer out.mu.Unlock()
-	return out.ex, true
+	return out.explanation, true
 }
 
-func (ex *explain) add(format string, args ...any) {
-	ex.mu.Lock()
-	defer ex.mu.Unlock()
-	if len(ex.ex.Steps) < maxSteps {
-		ex.ex.Steps = append(ex.ex.Steps, Step{At: time.Now(), Text: fmt.Sprintf(format, args...)})
+func (sl *stepLog) add(format string, args ...any) {
+	sl.mu.Lock()
+	defer sl.mu.Unlock()
+	if len(sl.explanation.Steps) < maxSteps {
+		sl.explanation.Steps = append(sl.explanation.Steps, Step{At: time.Now(), Text: fmt.Sprintf(format, args...)})
 	}
 }
--- a/entry/inflight.go
+++ b/entry/inflight.go
@@ -9,36 +9,36 @@
 	"tanagerpoint.example/tanager/policy"
 )
 
-// inFlights counts each organisation's requests at this entry.
+// inFlightLimiter counts each organisation's requests at this entry.
 //
 // mu guards the counts. No other lock is taken while it is held.
-type inFlights struct {
+type inFlightLimiter struct {
 	mu     sync.Mutex
 	counts map[policy.OrganisationID]int64
 }
 
-func newInFlights() *inFlights {
-	return &inFlights{counts: map[policy.OrganisationID]int64{}}
+func newInFlightLimiter() *inFlightLimiter {
+	return &inFlightLimiter{counts: map[policy.OrganisationID]int64{}}
 }
 
-// enter counts a request, or refuses it when the organisation has as many as
+// acquire counts a request, or refuses it when the organisation has as many as
 // this entry's part of its bound.
-func (in *inFlights) enter(or policy.Organisation, entries int) *problem {
+func (in *inFlightLimiter) acquire(or policy.Organisation, entries int) *problem {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	part := (or.MaxInFlight + int64(entries) - 1) / int64(entries)
-	if or.MaxInFlight > 0 && in.counts[or.ID] >= part {
+	limit := (or.MaxInFlight + int64(entries) - 1) / int64(entries)
+	if or.MaxInFlight > 0 && in.counts[or.ID] >= limit {
 		return &problem{
 			status: http.StatusTooManyRequests, code: string(admission.ReasonInFlight),
-			message: "the organisation has as many requests in service as it may", retryAt: time.Now().Add(overloadedRetry),
+			message: "the organisation has as many requests in service as it may", retryAt: time.Now().Add(overloadedRetryDelay),
 		}
 	}
 	in.counts[or.ID]++
 	return nil
 }
 
-// leave ends a request.
-func (in *inFlights) leave(id policy.OrganisationID) {
+// release ends a request.
+func (in *inFlightLimiter) release(id policy.OrganisationID) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	if in.counts[id]--; in.counts[id] == 0 {
--- a/entry/isolation.go
+++ b/entry/isolation.go
@@ -13,13 +13,13 @@
 // is asked at each send: a process that was paused learns here that what it
 // knows is old.
 func (da *Daemon) isIsolated() bool {
-	limit := da.set.GetServing().GetIsolatedAfter().AsDuration()
+	limit := da.settings.GetServing().GetIsolatedAfter().AsDuration()
 	fresh := time.Since(da.holder.Evidence()) < limit
 	return !fresh && !da.peers.ReachesMostEntries(len(da.vms.Entries()))
 }
 
-// noteIsolation logs when isolation begins and ends.
-func (da *Daemon) noteIsolation() {
+// updateIsolation logs when isolation begins and ends.
+func (da *Daemon) updateIsolation() {
 	isolated := da.isIsolated()
 	if da.isolated.Swap(isolated) == isolated {
 		return
--- a/entry/pool.go
+++ b/entry/pool.go
@@ -23,25 +23,25 @@
 
 const (
 	usagePrefix = "usage/"
-	// firstSecondsPerToken and firstTokensPerAnswer are assumed until answers
+	// initialSecondsPerToken and firstTokensPerAnswer are assumed until answers
 	// have ended.
-	firstSecondsPerToken = 0.01
-	firstTokensPerAnswer = 128
-	paceSmoothing        = 0.05
-	// leastUsed is the smoothed use, in slots, that is worth telling.
-	leastUsed = 0.01
+	initialSecondsPerToken = 0.01
+	initialTokensPerAnswer = 128
+	estimateSmoothing      = 0.05
+	// minReportedUsage is the smoothed use, in slots, that is worth telling.
+	minReportedUsage = 0.01
 )
 
 // pool is one queue and what it knows of its answers' pace.
 type pool struct {
 	gate *admission.Gate
 	// mu guards paces.
-	mu    sync.Mutex
-	paces map[policy.RankID]pace
+	mu        sync.Mutex
+	estimates map[policy.RankID]answerEstimate
 }
 
-// pace is what a rank's answers took.
-type pace struct {
+// answerEstimate is what a rank's answers took.
+type answerEstimate struct {
 	secondsPerToken float64
 	tokensPerAnswer float64
 }
@@ -53,27 +53,27 @@
 	daemon *Daemon
 
 	mu sync.Mutex
-	// revision is the policy that the endpoints are of, refreshed the one that
+	// endpointsRevision is the policy that the endpoints are of, refreshed the one that
 	// the queues are of.
-	revision  store.Revision
-	refreshed store.Revision
-	// heard are the others' items as last processed.
-	heard     map[string]peer.Version
-	byID      map[poolID]*pool
-	members   map[poolID]*placement.Pool
-	byVersion map[policy.VersionID]*placement.Pool
+	endpointsRevision store.Revision
+	queuesRevision    store.Revision
+	// remoteVersions are the others' items as last processed.
+	remoteVersions     map[string]peer.Version
+	queues             map[poolID]*pool
+	endpointsByPool    map[poolID]*placement.Pool
+	endpointsByVersion map[policy.VersionID]*placement.Pool
 }
 
 func newPools(da *Daemon) *pools {
-	return &pools{daemon: da, byID: map[poolID]*pool{}}
+	return &pools{daemon: da, queues: map[poolID]*pool{}}
 }
 
 // get gives a queue, brought up to the policy in force.
 func (po *pools) get(id poolID) *pool {
 	po.mu.Lock()
-	_, known := po.byID[id]
+	_, known := po.queues[id]
 	pl := po.getLocked(id)
-	current := po.refreshed == po.daemon.holder.Set().Revision
+	current := po.queuesRevision == po.daemon.holder.Set().Revision
 	po.mu.Unlock()
 	if !known || !current {
 		po.refresh()
@@ -82,43 +82,43 @@
 }
 
 func (po *pools) getLocked(id poolID) *pool {
-	pl, ok := po.byID[id]
+	pl, ok := po.queues[id]
 	if !ok {
 		pl = &pool{
-			gate:  admission.NewGate(int(po.daemon.set.GetServing().GetMaxQueue())),
-			paces: map[policy.RankID]pace{},
+			gate:      admission.NewGate(int(po.daemon.settings.GetServing().GetMaxQueue())),
+			estimates: map[policy.RankID]answerEstimate{},
 		}
-		po.byID[id] = pl
+		po.queues[id] = pl
 	}
 	return pl
 }
 
-// version gives the endpoints that should serve a version.
-func (po *pools) version(id policy.VersionID) *placement.Pool {
+// versionEndpoints gives the endpoints that should serve a version.
+func (po *pools) versionEndpoints(id policy.VersionID) *placement.Pool {
 	po.mu.Lock()
 	defer po.mu.Unlock()
-	po.rebuild()
-	if pl, ok := po.byVersion[id]; ok {
+	po.rebuildLocked()
+	if pl, ok := po.endpointsByVersion[id]; ok {
 		return pl
 	}
 	return placement.NewPool(nil)
 }
 
-// service gives the endpoints of a plain service.
-func (po *pools) service(id policy.ServiceID) *placement.Pool {
+// serviceEndpoints gives the endpoints of a plain service.
+func (po *pools) serviceEndpoints(id policy.ServiceID) *placement.Pool {
 	po.mu.Lock()
 	defer po.mu.Unlock()
-	po.rebuild()
-	if pl, ok := po.members[servicePool(id)]; ok {
+	po.rebuildLocked()
+	if pl, ok := po.endpointsByPool[servicePool(id)]; ok {
 		return pl
 	}
 	return placement.NewPool(nil)
 }
 
-// rebuild brings the endpoints up to the policy in force.
-func (po *pools) rebuild() {
+// rebuildLocked brings the endpoints up to the policy in force.
+func (po *pools) rebuildLocked() {
 	se := po.daemon.holder.Set()
-	if se.Revision == po.revision && po.byVersion != nil {
+	if se.Revision == po.endpointsRevision && po.endpointsByVersion != nil {
 		return
 	}
 	versions, members := map[policy.VersionID][]policy.Endpoint{}, map[poolID][]policy.Endpoint{}
@@ -140,14 +140,14 @@
 			members[id] = append(members[id], en)
 		}
 	}
-	po.byVersion, po.members = map[policy.VersionID]*placement.Pool{}, map[poolID]*placement.Pool{}
+	po.endpointsByVersion, po.endpointsByPool = map[policy.VersionID]*placement.Pool{}, map[poolID]*placement.Pool{}
 	for id, ens := range versions {
-		po.byVersion[id] = placement.NewPool(ens)
+		po.endpointsByVersion[id] = placement.NewPool(ens)
 	}
 	for id, ens := range members {
-		po.members[id] = placement.NewPool(ens)
+		po.endpointsByPool[id] = placement.NewPool(ens)
 	}
-	po.revision = se.Revision
+	po.endpointsRevision = se.Revision
 	po.daemon.tracker.Keep(func(id policy.EndpointID) bool {
 		_, ok := se.Endpoints.ByID(id)
 		return ok
@@ -157,21 +157,21 @@
 // refresh sets each queue's ranks, capacity and the other entries' usage.
 func (po *pools) refresh() {
 	po.mu.Lock()
-	po.rebuild()
-	revision := po.revision
-	members, ranks := po.members, ranksOf(po.daemon.holder.Set())
+	po.rebuildLocked()
+	revision := po.endpointsRevision
+	members, ranks := po.endpointsByPool, ranksOf(po.daemon.holder.Set())
 	queues := make(map[poolID]*pool, len(members))
 	for id := range members {
 		queues[id] = po.getLocked(id)
 	}
-	maps.Copy(queues, po.byID)
+	maps.Copy(queues, po.queues)
 	po.mu.Unlock()
-	re := po.remote()
+	re := po.readRemoteUsage()
 	if re.changed {
 		po.daemon.tracker.SetOthers(time.Now(), re.inFlight)
 	}
 	for id, pl := range queues {
-		slots := po.slots(members[id])
+		slots := po.usableSlots(members[id])
 		capacity := slots * admission.ShareOf(re.entries, pl.demand(), re.demand[id])
 		pl.gate.Change(func(qu *admission.Queue, now time.Time) {
 			qu.SetRanks(ranks)
@@ -183,7 +183,7 @@
 		pl.gate.Tick()
 	}
 	po.mu.Lock()
-	po.refreshed = max(po.refreshed, revision)
+	po.queuesRevision = max(po.queuesRevision, revision)
 	po.mu.Unlock()
 }
 
@@ -200,8 +200,8 @@
 	return out
 }
 
-// slots adds up what the usable endpoints of a pool serve at once.
-func (po *pools) slots(pl *placement.Pool) float64 {
+// usableSlots adds up what the usable endpoints of a pool serve at once.
+func (po *pools) usableSlots(pl *placement.Pool) float64 {
 	if pl == nil {
 		return 0
 	}
@@ -221,8 +221,8 @@
 	return ok && !now.Draining && !da.vms.EndpointLeaving(string(en.ID))
 }
 
-// remoteWork is what the other entries reported of their work.
-type remoteWork struct {
+// remoteUsage is what the other entries reported of their work.
+type remoteUsage struct {
 	entries int
 	demand  map[poolID]float64
 	reports map[poolID]admission.Report
@@ -232,8 +232,8 @@
 	changed bool
 }
 
-func (po *pools) remote() remoteWork {
-	re := remoteWork{entries: 1, demand: map[poolID]float64{}, reports: map[poolID]admission.Report{}, inFlight: map[policy.EndpointID]int{}}
+func (po *pools) readRemoteUsage() remoteUsage {
+	re := remoteUsage{entries: 1, demand: map[poolID]float64{}, reports: map[poolID]admission.Report{}, inFlight: map[policy.EndpointID]int{}}
 	seen := map[string]peer.Version{}
 	for _, mb := range po.daemon.peers.Entries() {
 		if !mb.Draining || mb.InFlight > 0 {
@@ -241,17 +241,17 @@
 		}
 		if it, ok := po.daemon.peers.Board().Get(usagePrefix + string(mb.VM)); ok {
 			seen[it.Key] = it.Version
-			re.add(it)
+			re.addItem(it)
 		}
 	}
 	po.mu.Lock()
 	defer po.mu.Unlock()
-	re.changed = !maps.Equal(seen, po.heard)
-	po.heard = seen
+	re.changed = !maps.Equal(seen, po.remoteVersions)
+	po.remoteVersions = seen
 	return re
 }
 
-func (re *remoteWork) add(it peer.Item) {
+func (re *remoteUsage) addItem(it peer.Item) {
 	var us rpc.Usage
 	if proto.Unmarshal(it.Value, &us) != nil {
 		return
@@ -290,7 +290,7 @@
 // publish tells the other entries what this one served and wants.
 func (po *pools) publish() {
 	po.mu.Lock()
-	queues := maps.Clone(po.byID)
+	queues := maps.Clone(po.queues)
 	po.mu.Unlock()
 	us := &rpc.Usage{}
 	for id, pl := range queues {
@@ -313,7 +313,7 @@
 			})
 		}
 		for _, lu := range re.Levels {
-			if lu.Running == 0 && lu.Used < leastUsed {
+			if lu.Running == 0 && lu.Used < minReportedUsage {
 				continue
 			}
 			pu.Levels = append(pu.Levels, &rpc.LevelUsage{
@@ -324,23 +324,23 @@
 	return pu
 }
 
-// expect gives the tokens and the time that a rank's answer is expected to take.
-func (pl *pool) expect(id policy.RankID, maxTokens int64) (tokens float64, lasts time.Duration) {
+// estimate gives the tokens and the time that a rank's answer is expected to take.
+func (pl *pool) estimate(id policy.RankID, maxTokens int64) (tokens float64, duration time.Duration) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
-	pa := pl.pace(id)
-	tokens = pa.tokensPerAnswer
+	ae := pl.estimateLocked(id)
+	tokens = ae.tokensPerAnswer
 	if maxTokens > 0 {
 		tokens = min(tokens, float64(maxTokens))
 	}
-	return tokens, time.Duration(tokens * pa.secondsPerToken * float64(time.Second))
+	return tokens, time.Duration(tokens * ae.secondsPerToken * float64(time.Second))
 }
 
-func (pl *pool) pace(id policy.RankID) pace {
-	if pa, ok := pl.paces[id]; ok {
-		return pa
+func (pl *pool) estimateLocked(id policy.RankID) answerEstimate {
+	if ae, ok := pl.estimates[id]; ok {
+		return ae
 	}
-	return pace{secondsPerToken: firstSecondsPerToken, tokensPerAnswer: firstTokensPerAnswer}
+	return answerEstimate{secondsPerToken: initialSecondsPerToken, tokensPerAnswer: initialTokensPerAnswer}
 }
 
 // observe learns from an answer that ended.
@@ -350,16 +350,16 @@
 	}
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
-	pa := pl.pace(id)
-	pa.tokensPerAnswer += paceSmoothing * (float64(tokens) - pa.tokensPerAnswer)
-	pa.secondsPerToken += paceSmoothing * (took.Seconds()/float64(tokens) - pa.secondsPerToken)
-	pl.paces[id] = pa
+	ae := pl.estimateLocked(id)
+	ae.tokensPerAnswer += estimateSmoothing * (float64(tokens) - ae.tokensPerAnswer)
+	ae.secondsPerToken += estimateSmoothing * (took.Seconds()/float64(tokens) - ae.secondsPerToken)
+	pl.estimates[id] = ae
 }
 
 // each visits every queue.
 func (po *pools) each(fn func(id poolID, pl *pool)) {
 	po.mu.Lock()
-	queues := maps.Clone(po.byID)
+	queues := maps.Clone(po.queues)
 	po.mu.Unlock()
 	for id, pl := range queues {
 		fn(id, pl)
--- a/entry/rating.go
+++ b/entry/rating.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// maxWaitingRatings bounds the answers waiting for the rating service.
-	maxWaitingRatings = 256
-	submitTimeout     = 2 * time.Second
+	// maxQueuedRatings bounds the answers waiting for the rating service.
+	maxQueuedRatings = 256
+	submitTimeout    = 2 * time.Second
 	// rolloutRatedShare of the answers of a model under roll-out are rated.
 	rolloutRatedShare = 0.1
 	// candidateRatedShare of a candidate's answers are rated.
@@ -30,7 +30,7 @@
 }
 
 func newRatingSubmitter(se *rating.Service) *ratingSubmitter {
-	return &ratingSubmitter{service: se, queue: make(chan rating.Answer, maxWaitingRatings)}
+	return &ratingSubmitter{service: se, queue: make(chan rating.Answer, maxQueuedRatings)}
 }
 
 func (rs *ratingSubmitter) submit(an rating.Answer) {
@@ -53,9 +53,9 @@
 	}
 }
 
-// willRate decides by the request's id, so that the answer is the same
+// inRatingSample decides by the request's id, so that the answer is the same
 // whenever it is asked.
-func (ch *chat) willRate(an *answering) bool {
+func (ch *chatRequest) inRatingSample(an *answerRelay) bool {
 	share := 0.0
 	se := an.daemon.holder.Set()
 	if ca, ok := se.Cascades.ByID(an.target.cascade); ok {
@@ -71,7 +71,7 @@
 	return float64(xxhash.Sum64String(ch.billID)%scale) < share*scale
 }
 
-func ratingAnswer(an *answering) rating.Answer {
+func ratingAnswer(an *answerRelay) rating.Answer {
 	return rating.Answer{
 		RequestID: an.chat.billID, Cascade: string(an.target.cascade), Work: string(an.chat.work),
 		Version:  string(an.target.version.ID),
--- a/entry/resolve.go
+++ b/entry/resolve.go
@@ -24,42 +24,42 @@
 }
 
 // resolve decides the model and version of a request under a policy set.
-func (da *Daemon) resolve(ctx context.Context, se *policy.Set, ch *chat) (target, *problem) {
+func (da *Daemon) resolve(ctx context.Context, se *policy.Set, ch *chatRequest) (target, *problem) {
 	or, ok := se.Organisations.ByID(ch.organisation)
 	if !ok {
-		return target{}, unknownModel(ch.name)
+		return target{}, unknownModel(ch.modelName)
 	}
-	if ve, ok := se.Versions.ByID(policy.VersionID(ch.name)); ok {
+	if ve, ok := se.Versions.ByID(policy.VersionID(ch.modelName)); ok {
 		return da.resolveVersion(se, or, ve)
 	}
-	tg, pr := da.assign(se, or, ch)
+	tg, pr := da.assignVersion(se, or, ch)
 	if pr != nil {
 		return target{}, pr
 	}
-	return da.keepSession(ctx, se, or, ch, tg)
+	return da.applySession(ctx, se, or, ch, tg)
 }
 
 func (da *Daemon) resolveVersion(se *policy.Set, or policy.Organisation, ve policy.Version) (target, *problem) {
-	if pr := mayRun(se, or.ID, ve.ID); pr != nil {
+	if pr := versionProblem(se, or.ID, ve.ID); pr != nil {
 		return target{}, pr
 	}
 	return target{model: policy.ModelID(ve.Model), version: ve}, nil
 }
 
-// assign decides for a request without a session.
-func (da *Daemon) assign(se *policy.Set, or policy.Organisation, ch *chat) (target, *problem) {
-	if ca, ok := se.Cascades.ByID(policy.CascadeID(ch.name)); ok {
+// assignVersion decides for a request without a session.
+func (da *Daemon) assignVersion(se *policy.Set, or policy.Organisation, ch *chatRequest) (target, *problem) {
+	if ca, ok := se.Cascades.ByID(policy.CascadeID(ch.modelName)); ok {
 		if !or.AllowsCascade(ca.ID) {
-			return target{}, unknownModel(ch.name)
+			return target{}, unknownModel(ch.modelName)
 		}
 		return da.assignCascade(se, or, ca, ch)
 	}
-	mo, ok := se.Models.ByID(policy.ModelID(ch.name))
+	mo, ok := se.Models.ByID(policy.ModelID(ch.modelName))
 	if !ok {
-		return target{}, unknownModel(ch.name)
+		return target{}, unknownModel(ch.modelName)
 	}
-	id := session.Assign(se, mo, session.Draw(), da.rollouts.suspect)
-	if pr := mayRun(se, or.ID, id); pr != nil {
+	id := session.Assign(se, mo, session.Draw(), da.rollouts.isSuspect)
+	if pr := versionProblem(se, or.ID, id); pr != nil {
 		return target{}, pr
 	}
 	ve, _ := se.Versions.ByID(id)
@@ -68,7 +68,7 @@
 
 // assignCascade chooses among the cascade's models that the organisation may
 // use and that have endpoints.
-func (da *Daemon) assignCascade(se *policy.Set, or policy.Organisation, ca policy.Cascade, ch *chat) (target, *problem) {
+func (da *Daemon) assignCascade(se *policy.Set, or policy.Organisation, ca policy.Cascade, ch *chatRequest) (target, *problem) {
 	var arms []cascade.Arm
 	var versions []policy.Version
 	for _, name := range ca.Models {
@@ -76,12 +76,12 @@
 		if !ok {
 			continue
 		}
-		id := session.Assign(se, mo, session.Draw(), da.rollouts.suspect)
-		if mayRun(se, or.ID, id) != nil || da.pools.slots(da.pools.version(id)) == 0 {
+		id := session.Assign(se, mo, session.Draw(), da.rollouts.isSuspect)
+		if versionProblem(se, or.ID, id) != nil || da.pools.usableSlots(da.pools.versionEndpoints(id)) == 0 {
 			continue
 		}
 		ve, _ := se.Versions.ByID(id)
-		tokens, _ := da.pools.get(modelPool(mo.ID)).expect(ch.rank.ID, ch.maxTokens)
+		tokens, _ := da.pools.get(modelPool(mo.ID)).estimate(ch.rank.ID, ch.maxTokens)
 		arms = append(arms, cascade.Arm{
 			Model: mo.ID, Version: id, Quality: ve.Quality,
 			Cost: ve.Cost(ch.promptTokens(), policy.Tokens(tokens)),
@@ -89,32 +89,32 @@
 		versions = append(versions, ve)
 	}
 	if len(arms) == 0 {
-		return target{}, &problem{status: http.StatusServiceUnavailable, code: "no_capacity", message: "no model of the cascade can take it now", retryAt: time.Now().Add(overloadedRetry)}
+		return target{}, &problem{status: http.StatusServiceUnavailable, code: "no_capacity", message: "no model of the cascade can take it now", retryAt: time.Now().Add(overloadedRetryDelay)}
 	}
 	ci := da.cascades.choose(ca, ch.work, arms)
 	return target{model: arms[ci.Index].Model, version: versions[ci.Index], cascade: ca.ID, choice: ci}, nil
 }
 
-// keepSession gives a session the version that it has. A session whose version
+// applySession gives a session the version that it has. A session whose version
 // was withdrawn goes on with the assigned one, and the caller is told; a caller
 // that asked for strictness is refused.
-func (da *Daemon) keepSession(ctx context.Context, se *policy.Set, or policy.Organisation, ch *chat, tg target) (target, *problem) {
+func (da *Daemon) applySession(ctx context.Context, se *policy.Set, or policy.Organisation, ch *chatRequest, tg target) (target, *problem) {
 	had, pr := da.sessionVersion(ctx, ch, tg, "")
 	if pr != nil || had == "" {
 		return tg, pr
 	}
-	if mayRun(se, or.ID, had) == nil {
+	if versionProblem(se, or.ID, had) == nil {
 		ve, _ := se.Versions.ByID(had)
 		tg.pinned = had != tg.version.ID || ch.sessionToken != ""
 		tg.version, tg.model = ve, policy.ModelID(ve.Model)
 		return tg, nil
 	}
-	if ch.strict {
+	if ch.strictSession {
 		return target{}, &problem{status: http.StatusConflict, code: "session_version_withdrawn", message: "the session's version " + string(had) + " takes no new work"}
 	}
 	if ch.sessionToken == "" {
 		moved, _ := da.sessionVersion(ctx, ch, tg, had)
-		if ve, ok := se.Versions.ByID(moved); ok && mayRun(se, or.ID, moved) == nil {
+		if ve, ok := se.Versions.ByID(moved); ok && versionProblem(se, or.ID, moved) == nil {
 			tg.version, tg.model = ve, policy.ModelID(ve.Model)
 		}
 	}
@@ -124,27 +124,27 @@
 
 // sessionVersion gives the version that the request's session has, pinning
 // the assigned one for a new session. "" without a session.
-func (da *Daemon) sessionVersion(ctx context.Context, ch *chat, tg target, replaced policy.VersionID) (policy.VersionID, *problem) {
+func (da *Daemon) sessionVersion(ctx context.Context, ch *chatRequest, tg target, replaced policy.VersionID) (policy.VersionID, *problem) {
 	if ch.sessionToken != "" {
 		cl, err := da.signer.Check(ch.sessionToken)
 		if err != nil || cl.Organisation != ch.organisation {
-			return "", invalid(HeaderSession, "not a session token of this organisation")
+			return "", invalidRequest(HeaderSession, "not a session token of this organisation")
 		}
-		if cl.Model != policy.ModelID(ch.name) {
-			return "", invalid(HeaderSession, "the session is on model "+string(cl.Model))
+		if cl.Model != policy.ModelID(ch.modelName) {
+			return "", invalidRequest(HeaderSession, "the session is on model "+string(cl.Model))
 		}
 		return cl.Version, nil
 	}
 	if ch.sessionID == "" {
 		return "", nil
 	}
-	key := session.NewKey(ch.organisation, policy.ModelID(ch.name), ch.sessionID)
+	key := session.NewKey(ch.organisation, policy.ModelID(ch.modelName), ch.sessionID)
 	return da.pins.Version(ctx, key, tg.version.ID, replaced), nil
 }
 
-// mayRun tells why a version must not run for an organisation under a set;
+// versionProblem tells why a version must not run for an organisation under a set;
 // nil when it may. It is asked at admission and again before every send.
-func mayRun(se *policy.Set, or policy.OrganisationID, id policy.VersionID) *problem {
+func versionProblem(se *policy.Set, or policy.OrganisationID, id policy.VersionID) *problem {
 	og, ok := se.Organisations.ByID(or)
 	ve, known := se.Versions.ByID(id)
 	if !ok || !known || !og.AllowsVersion(ve) {
--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -27,15 +27,15 @@
 	log    *event.Log
 
 	mu     sync.Mutex
-	guards map[policy.RolloutID]*guarded
+	guards map[policy.RolloutID]*guardedRollout
 	// suspects are the versions that this entry or another one found bad.
 	suspects map[policy.VersionID]bool
 }
 
-type guarded struct {
+type guardedRollout struct {
 	rollout policy.Rollout
-	// since is the record's state that the counts belong to.
-	since  rolloutPhase
+	// phase is the record's state that the counts belong to.
+	phase  rolloutPhase
 	guard  rollout.Guard
 	reason string
 }
@@ -53,19 +53,19 @@
 func newRollouts(pe *peer.Group, ho *configuration.Holder, lo *event.Log) *rollouts {
 	return &rollouts{
 		peers: pe, holder: ho, log: lo,
-		guards: map[policy.RolloutID]*guarded{}, suspects: map[policy.VersionID]bool{},
+		guards: map[policy.RolloutID]*guardedRollout{}, suspects: map[policy.VersionID]bool{},
 	}
 }
 
-// suspect tells whether a candidate must get no new sessions.
-func (ro *rollouts) suspect(id policy.VersionID) bool {
+// isSuspect tells whether a candidate must get no new sessions.
+func (ro *rollouts) isSuspect(id policy.VersionID) bool {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
 	return ro.suspects[id]
 }
 
-// candidate tells whether a target's version is on trial.
-func (ro *rollouts) candidate(tg target) bool {
+// isCandidate tells whether a target's version is on trial.
+func (ro *rollouts) isCandidate(tg target) bool {
 	rec, ok := ro.holder.Set().ActiveRollout(tg.model)
 	return ok && policy.VersionID(rec.ToVersion) == tg.version.ID
 }
@@ -78,7 +78,7 @@
 	}
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
-	gu := ro.get(rec)
+	gu := ro.getLocked(rec)
 	switch tg.version.ID {
 	case policy.VersionID(rec.FromVersion):
 		gu.guard.Stable(ou)
@@ -91,10 +91,10 @@
 	}
 }
 
-func (ro *rollouts) get(rec policy.Rollout) *guarded {
+func (ro *rollouts) getLocked(rec policy.Rollout) *guardedRollout {
 	gu, ok := ro.guards[rec.ID]
-	if !ok || gu.since != phaseOf(rec) {
-		gu = &guarded{since: phaseOf(rec)}
+	if !ok || gu.phase != phaseOf(rec) {
+		gu = &guardedRollout{phase: phaseOf(rec)}
 		ro.guards[rec.ID] = gu
 	}
 	gu.rollout = rec
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -21,52 +21,52 @@
 )
 
 const (
-	// maxResolves bounds how often a request is given another version because
+	// maxVersionChoices bounds how often a request is given another version because
 	// its own was withdrawn on the way.
-	maxResolves = 3
-	// billWait is the longest that an answer's end waits for its bill's copies.
-	billWait = 1500 * time.Millisecond
+	maxVersionChoices = 3
+	// billCopyTimeout is the longest that an answer's end waits for its bill's copies.
+	billCopyTimeout = 1500 * time.Millisecond
 	// secondsPerPromptKiloToken is the expected time of reading a prompt.
 	secondsPerPromptKiloToken = 0.1
 )
 
 // serveChat runs a request and answers it.
-func (da *Daemon) serveChat(co *gin.Context, ch *chat) {
+func (da *Daemon) serveChat(co *gin.Context, ch *chatRequest) {
 	ctx, cancel := context.WithDeadline(co.Request.Context(), ch.deadline)
 	defer cancel()
-	ex := da.explains.start(ch.request)
-	for range maxResolves {
+	sl := da.explanations.startRequest(ch.request)
+	for range maxVersionChoices {
 		tg, pr := da.resolve(ctx, da.holder.Set(), ch)
 		if pr != nil {
-			da.refuseChat(co, ch, ex, *pr)
+			da.abortChat(co, ch, sl, *pr)
 			return
 		}
-		ex.add("rank %s, version %s, cascade %q, pinned %t", ch.rank.ID, tg.version.ID, tg.cascade, tg.pinned)
-		err := da.runChat(ctx, co, ch, tg, ex)
+		sl.add("rank %s, version %s, cascade %q, pinned %t", ch.rank.ID, tg.version.ID, tg.cascade, tg.pinned)
+		err := da.runChat(ctx, co, ch, tg, sl)
 		if !errors.Is(err, errWithdrawn) {
-			da.reportChat(co, ch, ex, err)
+			da.abortChatOnError(co, ch, sl, err)
 			return
 		}
 	}
-	da.refuseChat(co, ch, ex, problem{
+	da.abortChat(co, ch, sl, problem{
 		status: http.StatusServiceUnavailable, code: "version_withdrawn",
-		message: "the versions were withdrawn one after the other", retryAt: time.Now().Add(overloadedRetry),
+		message: "the versions were withdrawn one after the other", retryAt: time.Now().Add(overloadedRetryDelay),
 	})
 }
 
-func (da *Daemon) refuseChat(co *gin.Context, ch *chat, ex *explain, pr problem) {
+func (da *Daemon) abortChat(co *gin.Context, ch *chatRequest, sl *stepLog, pr problem) {
 	if ch.sent {
 		pr.ran = RanUnknown
 	}
-	ex.add("refused: %s: %s", pr.code, pr.message)
-	da.count(co, ch.request, "refused")
-	refuse(co, pr)
+	sl.add("refused: %s: %s", pr.code, pr.message)
+	da.recordRequest(co, ch.request, "refused")
+	abortWithProblem(co, pr)
 }
 
 // runChat takes a request through the queue and an endpoint to its caller.
-func (da *Daemon) runChat(ctx context.Context, co *gin.Context, ch *chat, tg target, ex *explain) error {
+func (da *Daemon) runChat(ctx context.Context, co *gin.Context, ch *chatRequest, tg target, sl *stepLog) error {
 	pl := da.pools.get(modelPool(tg.model))
-	ti, pr := da.ticket(ch, pl)
+	ti, pr := da.chatTicket(ch, pl)
 	if pr != nil {
 		return pr
 	}
@@ -78,13 +78,13 @@
 	served := admission.Cost(0)
 	defer func() { pl.gate.Leave(ti, served) }()
 	startedAt := time.Now()
-	at := &attempts{daemon: da, chat: ch, target: tg, log: ex}
+	at := &attempts{daemon: da, chat: ch, target: tg, steps: sl}
 	op, err := at.open(ctx)
 	if err != nil {
-		return at.outcome(ctx, err)
+		return at.finalError(ctx, err)
 	}
 	defer op.stream.Close()
-	an := &answering{daemon: da, chat: ch, target: tg, opened: op, explain: ex}
+	an := &answerRelay{daemon: da, chat: ch, target: tg, opened: op, steps: sl}
 	an.run(ctx, co)
 	result := placement.Succeeded
 	switch {
@@ -96,18 +96,18 @@
 		result = placement.Failed
 		da.rollouts.observe(tg, rollout.Outcome{Failed: true})
 	}
-	da.endpointDone(op.endpoint.ID, result)
+	da.releaseEndpoint(op.endpoint.ID, result)
 	served = admission.Cost(an.outputTokens())
 	return nil
 }
 
-// ticket gives the request's ticket for a queue.
-func (da *Daemon) ticket(ch *chat, pl *pool) (*admission.Ticket, *problem) {
+// chatTicket gives the request's ticket for a queue.
+func (da *Daemon) chatTicket(ch *chatRequest, pl *pool) (*admission.Ticket, *problem) {
 	or, ok := da.holder.Set().Organisations.ByID(ch.organisation)
 	if !ok {
-		return nil, unknownModel(ch.name)
+		return nil, unknownModel(ch.modelName)
 	}
-	tokens, lasts := pl.expect(ch.rank.ID, ch.maxTokens)
+	tokens, lasts := pl.estimate(ch.rank.ID, ch.maxTokens)
 	reading := time.Duration(float64(ch.promptTokens()) / 1000 * secondsPerPromptKiloToken * float64(time.Second))
 	return &admission.Ticket{
 		Organisation: ch.organisation, Share: or.Share, Rank: ch.rank.ID,
@@ -115,13 +115,13 @@
 	}, nil
 }
 
-// outcome gives the caller's error for attempts that all failed.
-func (at *attempts) outcome(ctx context.Context, err error) error {
+// finalError gives the caller's error for attempts that all failed.
+func (at *attempts) finalError(ctx context.Context, err error) error {
 	var pr *problem
 	if errors.Is(err, errWithdrawn) || errors.As(err, &pr) {
 		return err
 	}
-	out := &problem{status: http.StatusBadGateway, code: "endpoint_failed", message: err.Error(), retryAt: time.Now().Add(overloadedRetry)}
+	out := &problem{status: http.StatusBadGateway, code: "endpoint_failed", message: err.Error(), retryAt: time.Now().Add(overloadedRetryDelay)}
 	var fa *endpoint.Failure
 	switch {
 	case errors.As(err, &fa) && fa.CallerMistake():
@@ -132,53 +132,53 @@
 	return out
 }
 
-// reportChat answers with the error of a request that got no answer.
-func (da *Daemon) reportChat(co *gin.Context, ch *chat, ex *explain, err error) {
+// abortChatOnError answers with the error of a request that got no answer.
+func (da *Daemon) abortChatOnError(co *gin.Context, ch *chatRequest, sl *stepLog, err error) {
 	var pr *problem
 	if errors.As(err, &pr) {
-		da.refuseChat(co, ch, ex, *pr)
+		da.abortChat(co, ch, sl, *pr)
 	}
 }
 
-// answering passes one answer to its caller.
-type answering struct {
+// answerRelay passes one answer to its caller.
+type answerRelay struct {
 	daemon  *Daemon
-	chat    *chat
+	chat    *chatRequest
 	target  target
-	opened  *opened
-	explain *explain
-	answer  answer
+	opened  *openedAnswer
+	steps   *stepLog
+	answer  answerBuilder
 	failure error
 	// callerGone tells that failure is the caller's, not the endpoint's.
 	callerGone bool
 }
 
-func (an *answering) outputTokens() policy.Tokens {
+func (an *answerRelay) outputTokens() policy.Tokens {
 	if an.answer.usage != nil {
 		return an.answer.usage.CompletionTokens
 	}
-	return policy.Tokens(an.answer.chunks)
+	return policy.Tokens(an.answer.contentChunks)
 }
 
-func (an *answering) inputTokens() policy.Tokens {
+func (an *answerRelay) inputTokens() policy.Tokens {
 	if an.answer.usage != nil {
 		return an.answer.usage.PromptTokens
 	}
 	return an.chat.promptTokens()
 }
 
-func (an *answering) run(ctx context.Context, co *gin.Context) {
-	an.headers(co)
-	var ca caller = &wholeCaller{co: co}
+func (an *answerRelay) run(ctx context.Context, co *gin.Context) {
+	an.setHeaders(co)
+	var aw answerWriter = &bufferedWriter{co: co}
 	if an.chat.stream {
-		ca = newStreamCaller(co, an.chat.includeUsage)
+		aw = newStreamWriter(co, an.chat.includeUsage)
 	}
-	an.relay(ca)
-	an.finish(ctx, co, ca)
+	an.relay(aw)
+	an.finish(ctx, co, aw)
 }
 
-// headers tells the caller where the answer comes from.
-func (an *answering) headers(co *gin.Context) {
+// setHeaders tells the caller where the answer comes from.
+func (an *answerRelay) setHeaders(co *gin.Context) {
 	co.Header(HeaderVersion, string(an.target.version.ID))
 	co.Header(HeaderEndpoint, string(an.opened.endpoint.ID))
 	co.Header(HeaderBill, an.chat.billID)
@@ -187,7 +187,7 @@
 		co.Header(HeaderSessionMoved, string(an.target.movedFrom))
 	}
 	token, err := an.daemon.signer.Issue(session.Claims{
-		Organisation: an.chat.organisation, Model: policy.ModelID(an.chat.name), Version: an.target.version.ID,
+		Organisation: an.chat.organisation, Model: policy.ModelID(an.chat.modelName), Version: an.target.version.ID,
 	})
 	if err == nil {
 		co.Header(HeaderSession, token)
@@ -195,11 +195,11 @@
 }
 
 // relay reads the answer to its end and passes it on.
-func (an *answering) relay(ca caller) {
+func (an *answerRelay) relay(aw answerWriter) {
 	ev, ended := an.opened.first, an.opened.ended
 	for !ended {
-		an.answer.add(ev.Data, !an.chat.stream || an.rated())
-		if err := ca.chunk(ev.Data); err != nil {
+		an.answer.addChunk(ev.Data, !an.chat.stream || an.shouldRate())
+		if err := aw.writeChunk(ev.Data); err != nil {
 			an.failure, an.callerGone = err, true
 			return
 		}
@@ -217,7 +217,7 @@
 
 // finish bills an answer and then lets its end go to the caller. A part of an
 // answer is billed when the caller left, not when the endpoint failed.
-func (an *answering) finish(ctx context.Context, co *gin.Context, ca caller) {
+func (an *answerRelay) finish(ctx context.Context, co *gin.Context, aw answerWriter) {
 	outcome := "answered"
 	switch {
 	case an.failure == nil:
@@ -228,27 +228,27 @@
 	default:
 		outcome = "cut"
 	}
-	an.explain.add("%s after %d tokens", outcome, an.outputTokens())
+	an.steps.add("%s after %d tokens", outcome, an.outputTokens())
 	if n := an.opened.stream.Resumes(); n > 0 {
 		an.daemon.log.Info(event.StreamResumed, event.Fields{"request": an.chat.id, "endpoint": an.opened.endpoint.ID, "times": n})
 	}
 	if outcome == "answered" || outcome == "cancelled" {
-		an.bill(outcome)
+		an.recordBill(outcome)
 	}
 	switch outcome {
 	case "answered":
-		ca.end(an.answer)
-		an.rate()
+		aw.complete(an.answer)
+		an.submitForRating()
 	case "cut", "deadline":
-		ca.cut(problem{
+		aw.abort(problem{
 			status: http.StatusBadGateway, code: "answer_incomplete", ran: RanUnknown,
-			message: "the answer was cut off and is not billed: " + an.failure.Error(), retryAt: time.Now().Add(overloadedRetry),
+			message: "the answer was cut off and is not billed: " + an.failure.Error(), retryAt: time.Now().Add(overloadedRetryDelay),
 		})
 	}
-	an.daemon.count(co, an.chat.request, outcome)
+	an.daemon.recordRequest(co, an.chat.request, outcome)
 }
 
-func (an *answering) bill(outcome string) {
+func (an *answerRelay) recordBill(outcome string) {
 	ve := an.target.version
 	bi := &rpc.Bill{
 		Id: an.chat.billID, Organisation: string(an.chat.organisation), RequestId: an.chat.id,
@@ -257,13 +257,13 @@
 		Cost:         int64(ve.Cost(an.inputTokens(), an.outputTokens())),
 		FinishedAtMs: time.Now().UnixMilli(), Outcome: outcome,
 	}
-	an.daemon.keepBill(bi)
+	an.daemon.addBill(bi)
 }
 
-// keepBill waits for a bill's copies, for a while: an answer is not held back
+// addBill waits for a bill's copies, for a while: an answer is not held back
 // by its bill, which stays with this entry until it is sealed.
-func (da *Daemon) keepBill(bi *rpc.Bill) {
-	ctx, cancel := context.WithTimeout(da.group.Context(), billWait)
+func (da *Daemon) addBill(bi *rpc.Bill) {
+	ctx, cancel := context.WithTimeout(da.group.Context(), billCopyTimeout)
 	defer cancel()
 	if err := da.book.Add(ctx, bi); err != nil {
 		da.log.Warn(billEvent, err, billFields(bi))
--- a/entry/service.go
+++ b/entry/service.go
@@ -21,21 +21,21 @@
 
 const (
 	maxPlainAnswerBytes = 8 << 20
-	// finishWait is the longest that an answer waits to be kept.
-	finishWait = 2 * time.Second
-	// claimWait is the longest that a call waits for its claim.
-	claimWait = 2 * time.Second
+	// claimFinishTimeout is the longest that an answer waits to be kept.
+	claimFinishTimeout = 2 * time.Second
+	// claimTimeout is the longest that a call waits for its claim.
+	claimTimeout = 2 * time.Second
 )
 
-// call is a call of a plain service.
-type call struct {
+// serviceCall is a call of a plain service.
+type serviceCall struct {
 	*request
-	service     policy.Service
-	method      string
-	path        string
-	header      http.Header
-	idempotency string
-	explain     *explain
+	service        policy.Service
+	method         string
+	path           string
+	header         http.Header
+	idempotencyKey string
+	steps          *stepLog
 }
 
 // handleService serves /v1/services/SERVICE/PATH.
@@ -43,40 +43,40 @@
 	se := da.holder.Set()
 	sv, pr := da.findService(co, se)
 	if pr != nil {
-		refuse(co, *pr)
+		abortWithProblem(co, *pr)
 		return
 	}
 	rq, pr := da.readRequest(co, se, func(_ policy.Rank, arrived time.Time) time.Time { return sv.Deadline(arrived) })
 	if pr != nil {
-		refuse(co, *pr)
+		abortWithProblem(co, *pr)
 		return
 	}
-	ca := &call{
+	ca := &serviceCall{
 		request: rq, service: sv, method: co.Request.Method, path: co.Param("path"),
-		header: forwardedHeader(co.Request.Header), idempotency: co.GetHeader(HeaderIdempotency),
-		explain: da.explains.start(rq),
+		header: forwardedHeader(co.Request.Header), idempotencyKey: co.GetHeader(HeaderIdempotency),
+		steps: da.explanations.startRequest(rq),
 	}
 	if qu := co.Request.URL.RawQuery; qu != "" {
 		ca.path += "?" + qu
 	}
-	if len(ca.idempotency) > maxIDBytes {
-		refuse(co, *invalid(HeaderIdempotency, "longer than 256 bytes"))
+	if len(ca.idempotencyKey) > maxIDBytes {
+		abortWithProblem(co, *invalidRequest(HeaderIdempotency, "longer than 256 bytes"))
 		return
 	}
 	da.budget.Received()
 	ctx, cancel := context.WithDeadline(co.Request.Context(), ca.deadline)
 	defer cancel()
 	if pr := da.serveCall(ctx, co, ca); pr != nil {
-		ca.explain.add("refused: %s: %s", pr.code, pr.message)
-		da.count(co, rq, "refused")
-		refuse(co, *pr)
+		ca.steps.add("refused: %s: %s", pr.code, pr.message)
+		da.recordRequest(co, rq, "refused")
+		abortWithProblem(co, *pr)
 	}
 }
 
 func (da *Daemon) findService(co *gin.Context, se *policy.Set) (policy.Service, *problem) {
 	id := policy.ServiceID(co.Param("service"))
 	sv, ok := se.Services.ByID(id)
-	or, _ := se.Organisations.ByID(policy.OrganisationID(co.GetString(keyOrganisation)))
+	or, _ := se.Organisations.ByID(policy.OrganisationID(co.GetString(organisationContextKey)))
 	if !ok || or.Organisation == nil || !or.AllowsService(id) {
 		return sv, &problem{status: http.StatusNotFound, code: "service_not_found", message: "no service " + strconv.Quote(string(id)) + " that the organisation may use"}
 	}
@@ -95,11 +95,11 @@
 	return out
 }
 
-func (ca *call) repeatable() bool { return ca.service.Repeatable(ca.method) }
+func (ca *serviceCall) repeatable() bool { return ca.service.Repeatable(ca.method) }
 
 // serveCall runs a call through the queue; one that may not be repeated and
 // has a key is claimed first.
-func (da *Daemon) serveCall(ctx context.Context, co *gin.Context, ca *call) *problem {
+func (da *Daemon) serveCall(ctx context.Context, co *gin.Context, ca *serviceCall) *problem {
 	pl := da.pools.get(servicePool(ca.service.ID))
 	ti, pr := da.callTicket(ca)
 	if pr != nil {
@@ -110,12 +110,12 @@
 		return &pr
 	}
 	defer pl.gate.Leave(ti, 1)
-	if ca.repeatable() || ca.idempotency == "" {
+	if ca.repeatable() || ca.idempotencyKey == "" {
 		return da.runCall(ctx, co, ca, nil)
 	}
-	claiming, cancel := context.WithTimeout(ctx, claimWait)
+	claiming, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	key := claim.Key{Organisation: ca.organisation, Service: ca.service.ID, Idempotency: ca.idempotency}
+	key := claim.Key{Organisation: ca.organisation, Service: ca.service.ID, Idempotency: ca.idempotencyKey}
 	ho, found, err := da.claimer.Claim(claiming, key, claim.NewFingerprint(ca.method, ca.path, ca.body), ca.deadline)
 	switch {
 	case errors.Is(err, claim.ErrMismatch):
@@ -123,16 +123,16 @@
 	case err != nil:
 		return &problem{
 			status: http.StatusServiceUnavailable, code: "claim_unavailable",
-			message: "the call cannot be claimed now and was not run", retryAt: time.Now().Add(isolatedRetry),
+			message: "the call cannot be claimed now and was not run", retryAt: time.Now().Add(isolatedRetryDelay),
 		}
 	case ho == nil:
-		return da.repeated(co, ca, found)
+		return da.answerDuplicate(co, ca, found)
 	}
-	ca.explain.add("claimed")
+	ca.steps.add("claimed")
 	return da.runCall(ctx, co, ca, ho)
 }
 
-func (da *Daemon) callTicket(ca *call) (*admission.Ticket, *problem) {
+func (da *Daemon) callTicket(ca *serviceCall) (*admission.Ticket, *problem) {
 	or, ok := da.holder.Set().Organisations.ByID(ca.organisation)
 	if !ok {
 		return nil, &problem{status: http.StatusNotFound, code: "service_not_found", message: "no such service"}
@@ -140,18 +140,18 @@
 	return &admission.Ticket{Organisation: ca.organisation, Share: or.Share, Rank: ca.rank.ID, Cost: 1, LatestStart: ca.deadline}, nil
 }
 
-// repeated answers a call that was claimed before.
-func (da *Daemon) repeated(co *gin.Context, ca *call, re claim.Record) *problem {
+// answerDuplicate answers a call that was claimed before.
+func (da *Daemon) answerDuplicate(co *gin.Context, ca *serviceCall, re claim.Record) *problem {
 	now := time.Now()
-	ca.explain.add("claimed before: %s", re.State)
+	ca.steps.add("claimed before: %s", re.State)
 	switch {
 	case re.State == claim.Finished && re.Answer.Kept:
 		co.Header(HeaderReplayed, "true")
 		co.Header(HeaderBill, re.Answer.BillID)
 		co.Header(HeaderRan, string(HasRun))
-		limitWrite(co)
+		setWriteDeadline(co)
 		co.Data(re.Answer.Status, re.Answer.ContentType, re.Answer.Body)
-		da.count(co, ca.request, "replayed")
+		da.recordRequest(co, ca.request, "replayed")
 		return nil
 	case re.State == claim.Finished:
 		return &problem{status: http.StatusConflict, code: "answer_not_kept", ran: HasRun, message: "the call was run; its answer was too large to keep"}
@@ -164,13 +164,13 @@
 
 // runCall sends a call, again only when it may be repeated, or when no byte of
 // it can have reached an endpoint.
-func (da *Daemon) runCall(ctx context.Context, co *gin.Context, ca *call, ho *claim.Hold) *problem {
+func (da *Daemon) runCall(ctx context.Context, co *gin.Context, ca *serviceCall, ho *claim.Hold) *problem {
 	var tried []policy.EndpointID
 	sent := false
 	for n := int64(1); ; n++ {
 		en, an, pr, err := da.sendCall(ctx, ca, tried)
 		if pr != nil {
-			return da.callFailed(ho, sent, *pr)
+			return da.failCall(ho, sent, *pr)
 		}
 		if err == nil {
 			return da.answerCall(co, ca, ho, en, an)
@@ -178,29 +178,29 @@
 		tried = append(tried, en.ID)
 		var fa *endpoint.Failure
 		sent = sent || !errors.As(err, &fa) || fa.Sent
-		again := n < da.set.GetServing().GetMaxAttempts() && ctx.Err() == nil && (ca.repeatable() || !sent)
+		again := n < da.settings.GetServing().GetMaxAttempts() && ctx.Err() == nil && (ca.repeatable() || !sent)
 		if !again || !da.budget.Take() {
-			return da.callFailed(ho, sent, problem{
-				status: http.StatusBadGateway, code: "endpoint_failed", message: err.Error(), retryAt: time.Now().Add(overloadedRetry),
+			return da.failCall(ho, sent, problem{
+				status: http.StatusBadGateway, code: "endpoint_failed", message: err.Error(), retryAt: time.Now().Add(overloadedRetryDelay),
 			})
 		}
 	}
 }
 
 // sendCall makes one attempt.
-func (da *Daemon) sendCall(ctx context.Context, ca *call, tried []policy.EndpointID) (policy.Endpoint, endpoint.PlainAnswer, *problem, error) {
-	en, ok := da.tracker.Choose(time.Now(), da.pools.service(ca.service.ID), 0, tried, da.usable)
+func (da *Daemon) sendCall(ctx context.Context, ca *serviceCall, tried []policy.EndpointID) (policy.Endpoint, endpoint.PlainAnswer, *problem, error) {
+	en, ok := da.tracker.Choose(time.Now(), da.pools.serviceEndpoints(ca.service.ID), 0, tried, da.usable)
 	if !ok {
 		return en, endpoint.PlainAnswer{}, &problem{
 			status: http.StatusServiceUnavailable, code: string(admission.ReasonNoCapacity),
-			message: "no endpoint serves the service now", retryAt: time.Now().Add(overloadedRetry),
+			message: "no endpoint serves the service now", retryAt: time.Now().Add(overloadedRetryDelay),
 		}, nil
 	}
-	if pr := da.mayCall(ca); pr != nil {
+	if pr := da.callProblem(ca); pr != nil {
 		da.tracker.Done(time.Now(), en.ID, placement.Neutral)
 		return en, endpoint.PlainAnswer{}, pr, nil
 	}
-	ca.explain.add("sent to %s", en.ID)
+	ca.steps.add("sent to %s", en.ID)
 	an, err := da.client.Plain(ctx, endpoint.PlainCall{
 		URL: en.Url, Attempt: endpoint.AttemptID(ulid.Make().String()), Method: ca.method, Path: ca.path,
 		Header: ca.header, Body: ca.body, Repeatable: ca.repeatable(), Deadline: ca.deadline, MaxBytes: maxPlainAnswerBytes,
@@ -208,28 +208,28 @@
 	result := placement.Succeeded
 	if err != nil {
 		result = placement.Failed
-		ca.explain.add("%s failed: %v", en.ID, err)
+		ca.steps.add("%s failed: %v", en.ID, err)
 		da.log.Debug(event.AttemptFailed, err, event.Fields{"request": ca.id, "endpoint": en.ID})
 	}
 	if an.Load.Known {
 		da.tracker.Report(time.Now(), en, an.Load.Utilisation)
 	}
-	da.endpointDone(en.ID, result)
+	da.releaseEndpoint(en.ID, result)
 	return en, an, nil, err
 }
 
-// mayCall tells why a call must not be sent under the policy in force now.
-func (da *Daemon) mayCall(ca *call) *problem {
+// callProblem tells why a call must not be sent under the policy in force now.
+func (da *Daemon) callProblem(ca *serviceCall) *problem {
 	or, known := da.holder.Set().Organisations.ByID(ca.organisation)
 	if !known || !or.AllowsService(ca.service.ID) {
 		return &problem{status: http.StatusNotFound, code: "service_not_found", message: "the organisation may not use the service any more"}
 	}
-	return da.cannotSend()
+	return da.sendProblem()
 }
 
-// callFailed says whether a failed call was run, and gives its claim back when
+// failCall says whether a failed call was run, and gives its claim back when
 // nothing of it was sent.
-func (da *Daemon) callFailed(ho *claim.Hold, sent bool, pr problem) *problem {
+func (da *Daemon) failCall(ho *claim.Hold, sent bool, pr problem) *problem {
 	pr.ran = NotRun
 	if sent {
 		pr.ran = RanUnknown
@@ -240,14 +240,14 @@
 }
 
 // answerCall bills a call, keeps its answer, and gives it to the caller.
-func (da *Daemon) answerCall(co *gin.Context, ca *call, ho *claim.Hold, en policy.Endpoint, an endpoint.PlainAnswer) *problem {
+func (da *Daemon) answerCall(co *gin.Context, ca *serviceCall, ho *claim.Hold, en policy.Endpoint, an endpoint.PlainAnswer) *problem {
 	contentType := an.Header.Get("Content-Type")
-	da.keepBill(&rpc.Bill{
+	da.addBill(&rpc.Bill{
 		Id: ca.billID, Organisation: string(ca.organisation), RequestId: ca.id, Service: string(ca.service.ID),
 		Rank: string(ca.rank.ID), Cost: ca.service.CostPerCall, FinishedAtMs: time.Now().UnixMilli(), Outcome: "answered",
 	})
 	if ho != nil {
-		ctx, cancel := context.WithTimeout(da.group.Context(), finishWait)
+		ctx, cancel := context.WithTimeout(da.group.Context(), claimFinishTimeout)
 		defer cancel()
 		kept := claim.Answer{Status: an.Status, ContentType: contentType, Body: an.Body, BillID: ca.billID}
 		if err := da.claimer.Finish(ctx, ho, kept); err != nil {
@@ -257,8 +257,8 @@
 	co.Header(HeaderEndpoint, string(en.ID))
 	co.Header(HeaderBill, ca.billID)
 	co.Header(HeaderRan, string(HasRun))
-	limitWrite(co)
+	setWriteDeadline(co)
 	co.Data(an.Status, contentType, an.Body)
-	da.count(co, ca.request, "answered")
+	da.recordRequest(co, ca.request, "answered")
 	return nil
 }
