--- a/entry/admin.go
+++ b/entry/admin.go
@@ -16,7 +16,7 @@
 	"tanagerpoint.example/tanager/vm"
 )
 
-// adminRoutes adds the entry's own routes for operators.
+// adminRoutes registers the operators' routes that only an entry has.
 func (da *Daemon) adminRoutes(ro gin.IRoutes) {
 	ro.GET("/v1/explain/:id", func(co *gin.Context) {
 		ex, ok := da.explanations.get(co.Param("id"))
@@ -32,13 +32,13 @@
 	})
 }
 
-// DrainResponse tells that a graceful shutdown has begun.
+// DrainResponse is the response of POST /v1/drain, sent when draining has begun.
 type DrainResponse struct {
 	Draining bool  `json:"draining"`
 	InFlight int64 `json:"in_flight"`
 }
 
-// State is the entry's dump.
+// State is the state of an entry, as GET /v1/dump returns it.
 type State struct {
 	VM             vm.ID                                 `json:"vm"`
 	Incarnation    peer.Incarnation                      `json:"incarnation"`
@@ -63,14 +63,15 @@
 	StreamsResumed int64                                 `json:"streams_resumed"`
 }
 
-// PoolState is one queue's part of the dump.
+// PoolState is the state of one pool's queue in the dump. Running and Waiting are
+// numbers of requests, Capacity is in slots.
 type PoolState struct {
 	Running  int     `json:"running"`
 	Waiting  int     `json:"waiting"`
 	Capacity float64 `json:"capacity"`
 }
 
-// Dump gives the entry's state.
+// Dump returns the entry's State.
 func (da *Daemon) Dump() any {
 	se := da.holder.Set()
 	st := State{
@@ -94,7 +95,7 @@
 	return st
 }
 
-// addGauges adds the metrics that are read when they are scraped.
+// addGauges registers the metrics whose values are read at each scrape.
 func (da *Daemon) addGauges() error {
 	for _, ga := range []struct {
 		name, help string
--- a/entry/answer.go
+++ b/entry/answer.go
@@ -20,14 +20,14 @@
 	return event.Fields{"bill": bi.GetId(), "organisation": bi.GetOrganisation(), "cost": bi.GetCost()}
 }
 
-// usage is the OpenAI API's usage object.
+// usage is the usage object of the OpenAI API.
 type usage struct {
 	PromptTokens     policy.Tokens `json:"prompt_tokens"`
 	CompletionTokens policy.Tokens `json:"completion_tokens"`
 	TotalTokens      policy.Tokens `json:"total_tokens"`
 }
 
-// chunk is the OpenAI API's chat.completion.chunk.
+// chunk is the chat.completion.chunk object of the OpenAI API.
 type chunk struct {
 	ID      string        `json:"id"`
 	Created int64         `json:"created"`
@@ -66,7 +66,7 @@
 	Content []json.RawMessage `json:"content"`
 }
 
-// choice is one choice of a whole answer.
+// choice is one choice of a chat.completion.
 type choice struct {
 	Index        int       `json:"index"`
 	Message      message   `json:"message"`
@@ -74,7 +74,7 @@
 	Logprobs     *logprobs `json:"logprobs"`
 }
 
-// completion is the OpenAI API's chat.completion.
+// completion is the chat.completion object of the OpenAI API.
 type completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -84,15 +84,18 @@
 	Usage   *usage   `json:"usage,omitempty"`
 }
 
-// answerBuilder is what has come of an answer so far.
+// answerBuilder accumulates the chunks of an answer as they arrive.
 type answerBuilder struct {
+	// contentChunks counts the chunks with content. It stands in for the output
+	// tokens when the endpoint reports no usage.
 	contentChunks int
 	usage         *usage
 	firstChunk    chunk
 	choices       []choice
 }
 
-// addChunk takes in one chunk. Its text is only gathered when gather is set.
+// addChunk adds one chunk. It always records usage and counts content, and adds
+// to the choices only when keepText is set.
 func (an *answerBuilder) addChunk(data []byte, keepText bool) {
 	if us := gjson.GetBytes(data, "usage"); us.IsObject() {
 		an.usage = &usage{}
@@ -116,6 +119,7 @@
 	}
 }
 
+// choiceAt returns the choice with an index, and adds it when it is new.
 func (an *answerBuilder) choiceAt(index int) *choice {
 	for i := range an.choices {
 		if an.choices[i].Index == index {
@@ -126,6 +130,7 @@
 	return &an.choices[len(an.choices)-1]
 }
 
+// merge appends a chunk's delta to the choice.
 func (ch *choice) merge(cc chunkChoice) {
 	ch.Message.Content = concat(ch.Message.Content, cc.Delta.Content)
 	ch.Message.Refusal = concat(ch.Message.Refusal, cc.Delta.Refusal)
@@ -143,6 +148,8 @@
 	}
 }
 
+// mergeTool appends a delta to the tool call with its index, or to a new one when
+// it has none. It ignores an index outside the bounds of maxToolCalls.
 func (ch *choice) mergeTool(tc toolCall) {
 	index := len(ch.Message.ToolCalls)
 	if tc.Index != nil {
@@ -160,9 +167,11 @@
 	have.Function.Arguments += tc.Function.Arguments
 }
 
-// maxToolCalls bounds the tool calls of one answer.
+// maxToolCalls is the maximum number of tool calls in one choice, since the
+// endpoint chooses the index.
 const maxToolCalls = 256
 
+// concat returns the concatenation of two optional strings, nil when both are.
 func concat(have, more *string) *string {
 	if more == nil {
 		return have
@@ -174,7 +183,7 @@
 	return &both
 }
 
-// completion gives the whole answer.
+// completion returns the accumulated answer as one chat.completion.
 func (an *answerBuilder) completion() completion {
 	return completion{
 		ID: an.firstChunk.ID, Object: "chat.completion", Created: an.firstChunk.Created, Model: an.firstChunk.Model,
@@ -182,7 +191,7 @@
 	}
 }
 
-// text gives the first choice's content.
+// text returns the content of the first choice, "" when it has none.
 func (an *answerBuilder) text() string {
 	if len(an.choices) == 0 || an.choices[0].Message.Content == nil {
 		return ""
@@ -190,17 +199,18 @@
 	return *an.choices[0].Message.Content
 }
 
-// answerWriter is the receiving end of an answer.
+// answerWriter writes an answer to the caller.
 type answerWriter interface {
-	// writeChunk passes on a chunk; an error means that the caller has gone.
+	// writeChunk processes one chunk. An error means that the caller cannot be
+	// reached any more.
 	writeChunk(data []byte) error
-	// complete completes the answer.
+	// complete writes what remains of a complete answer.
 	complete(an answerBuilder)
-	// abort ends an answer that cannot be completed.
+	// abort writes an error in place of the rest of an incomplete answer.
 	abort(pr problem)
 }
 
-// bufferedWriter gets the answer in one piece.
+// bufferedWriter writes the whole answer as one JSON response.
 type bufferedWriter struct {
 	co *gin.Context
 }
@@ -212,7 +222,7 @@
 	bw.co.JSON(http.StatusOK, an.completion())
 }
 
-// setWriteDeadline bounds the time that the caller may take to read what is written
+// setWriteDeadline gives the caller callerWriteTimeout to read what is written
 // next.
 func setWriteDeadline(co *gin.Context) {
 	_ = http.NewResponseController(co.Writer).SetWriteDeadline(time.Now().Add(callerWriteTimeout))
@@ -220,17 +230,20 @@
 
 func (bw *bufferedWriter) abort(pr problem) { abortWithProblem(bw.co, pr) }
 
-// streamWriter gets the answer as server-sent events.
+// streamWriter writes the answer as server-sent events.
 type streamWriter struct {
 	co           *gin.Context
 	rc           *http.ResponseController
 	includeUsage bool
-	// finalChunk is the chunk with the finish reason. It waits for the usage, and
-	// for the bill, before it goes to the caller.
+	// finalChunk is the chunk with the finish reason. It is held back until the
+	// usage has arrived and the bill has been recorded.
 	finalChunk []byte
+	// usageChunk is the chunk that has only the usage. It is sent when the caller
+	// asked for it.
 	usageChunk []byte
 }
 
+// newStreamWriter writes the response header and returns a writer for the events.
 func newStreamWriter(co *gin.Context, includeUsage bool) *streamWriter {
 	he := co.Writer.Header()
 	he.Set("Content-Type", "text/event-stream")
@@ -251,7 +264,8 @@
 	return sw.writeEvent(data)
 }
 
-// writeEvent writes one event. A caller that reads too slowly is given up.
+// writeEvent writes and flushes one event. It returns an error when the caller
+// does not read it within callerWriteTimeout.
 func (sw *streamWriter) writeEvent(data []byte) error {
 	_ = sw.rc.SetWriteDeadline(time.Now().Add(callerWriteTimeout))
 	buf := make([]byte, 0, len(data)+8)
@@ -279,8 +293,8 @@
 	_ = sw.writeEvent([]byte("[DONE]"))
 }
 
-// abort tells the caller that the answer is not whole; the stream then ends
-// without the event that completes one.
+// abort sends the problem as the last event. The stream then ends without the
+// [DONE] event, so that the caller can tell that the answer is incomplete.
 func (sw *streamWriter) abort(pr problem) {
 	text, err := json.Marshal(pr.body())
 	if err != nil {
@@ -289,12 +303,13 @@
 	_ = sw.writeEvent(text)
 }
 
-// shouldRate tells whether the answer's text goes to the rating service.
+// shouldRate reports whether the answer's text is sent to the rating service.
 func (an *answerRelay) shouldRate() bool {
 	return an.daemon.ratings != nil && an.chat.inRatingSample(an)
 }
 
-// submitForRating hands the answer to the rating service.
+// submitForRating queues the answer for the rating service if it is in the
+// sample.
 func (an *answerRelay) submitForRating() {
 	if !an.shouldRate() {
 		return
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -20,20 +20,22 @@
 	"tanagerpoint.example/tanager/rollout"
 )
 
-// errWithdrawn marks a version that was withdrawn between admission and send.
-var errWithdrawn = eris.New("version withdrawn before the send")
+// errWithdrawn is returned when the version may no longer run for the organisation
+// at the time of the send, although it could at admission. The request is then
+// resolved again.
+var errWithdrawn = eris.New("version withdrawn between admission and send")
 
-// openedAnswer is an answer whose first event has come.
+// openedAnswer is an answer of which the first event, or the end, was received.
 type openedAnswer struct {
 	stream   *endpoint.Stream
 	first    endpoint.Event
 	endpoint policy.Endpoint
 	attempt  endpoint.AttemptID
-	// ended tells that the answer ended with its first event.
+	// ended is set when the stream ended without an event.
 	ended bool
 }
 
-// attempts is one request's way through endpoints.
+// attempts holds the state of a chat request while it is sent to endpoints.
 type attempts struct {
 	daemon      *Daemon
 	chat        *chatRequest
@@ -43,8 +45,9 @@
 	steps       *stepLog
 }
 
-// open sends the request until an endpoint starts to answer. The error is a
-// *endpoint.Failure, errWithdrawn, a *problem or ctx's.
+// open sends the request to one endpoint after another until one starts to
+// answer or no retry is allowed. The error is an *endpoint.Failure, errWithdrawn
+// or a *problem.
 func (at *attempts) open(ctx context.Context) (*openedAnswer, error) {
 	da := at.daemon
 	for n := int64(1); ; n++ {
@@ -56,7 +59,8 @@
 	}
 }
 
-// shouldRetry tells whether another attempt may follow a failed one.
+// shouldRetry reports whether another attempt may follow the n-th, which failed
+// with err. It takes a retry from the budget when it returns true.
 func (at *attempts) shouldRetry(ctx context.Context, n int64, err error) bool {
 	var fa *endpoint.Failure
 	if !errors.As(err, &fa) || fa.CallerMistake() || ctx.Err() != nil {
@@ -72,7 +76,8 @@
 	return true
 }
 
-// attemptOnce makes one attempt. The policy in force is asked last before the send.
+// attemptOnce sends the request to one endpoint; fresh asks for a new connection.
+// The policy in force is checked last, immediately before the send.
 func (at *attempts) attemptOnce(ctx context.Context, fresh bool) (*openedAnswer, error) {
 	da, ve := at.daemon, at.target.version
 	body, err := at.chat.engineBody(ve)
@@ -107,7 +112,8 @@
 	return &openedAnswer{stream: st, first: first, endpoint: en, attempt: attempt, ended: err != nil}, nil
 }
 
-// checkBeforeSend refuses what the policy in force at this moment does not allow.
+// checkBeforeSend returns an error when the policy in force now does not allow the
+// send, since it may have changed while the request was queued.
 func (at *attempts) checkBeforeSend() error {
 	da := at.daemon
 	if pr := da.sendProblem(); pr != nil {
@@ -120,7 +126,8 @@
 	return nil
 }
 
-// noEndpointError gives the error when no endpoint may be chosen.
+// noEndpointError returns the error for a request that has no endpoint left to
+// try: the last failure, or a problem when nothing was tried.
 func (at *attempts) noEndpointError() error {
 	if at.lastFailure != nil {
 		return at.lastFailure
@@ -131,6 +138,9 @@
 	}
 }
 
+// recordFailure records a failed attempt with the endpoint, the metrics and the
+// roll-out, and returns the failure. Mistakes of the caller and attempts that
+// ended with ctx count neither against the endpoint nor against the version.
 func (at *attempts) recordFailure(ctx context.Context, en policy.Endpoint, sentAt time.Time, err error) error {
 	da := at.daemon
 	var fa *endpoint.Failure
@@ -146,7 +156,7 @@
 	endpointResult := result
 	if fa.Cause != endpoint.CauseUnreachable && da.rollouts.isCandidate(at.target) {
 		// The failures of a candidate version do not count against the endpoints
-		// that run it: they are needed for the version in use.
+		// that run it, because those endpoints also serve the stable version.
 		endpointResult = placement.Neutral
 	}
 	da.releaseEndpoint(en.ID, endpointResult)
@@ -162,6 +172,7 @@
 	return fa
 }
 
+// recordSuccess records an attempt whose endpoint started to answer.
 func (at *attempts) recordSuccess(ctx context.Context, en policy.Endpoint, st *endpoint.Stream, sentAt time.Time) {
 	da := at.daemon
 	if lo := st.Load(); lo.Known {
@@ -178,7 +189,8 @@
 	da.rollouts.observe(at.target, rollout.Outcome{FirstToken: time.Since(sentAt).Seconds()})
 }
 
-// releaseEndpoint ends a request in flight at an endpoint.
+// releaseEndpoint ends a request in flight at an endpoint, records its result, and
+// logs when the endpoint is suspended or resumed because of it.
 func (da *Daemon) releaseEndpoint(id policy.EndpointID, re placement.Result) {
 	suspended, resumed := da.tracker.Done(time.Now(), id, re)
 	if suspended {
@@ -189,5 +201,6 @@
 	}
 }
 
-// Error makes a problem an error within the package.
+// Error implements error, so that a problem can be returned as one within the
+// package.
 func (pr *problem) Error() string { return pr.code + ": " + pr.message }
--- a/entry/caller.go
+++ b/entry/caller.go
@@ -36,11 +36,11 @@
 	HeaderReplayed      = "Idempotent-Replayed"
 )
 
-// Ran tells the caller of a refused or failed request whether it was run.
+// Ran states whether a request was run, for the caller of a refused or failed one.
 type Ran string
 
-// The values. NotRun is said only when no byte of the request can have reached
-// an endpoint.
+// The values of Ran. NotRun is used only when no byte of the request can have
+// reached an endpoint.
 const (
 	NotRun     Ran = "not_run"
 	RanUnknown Ran = "unknown"
@@ -50,7 +50,7 @@
 const (
 	organisationContextKey = "organisation"
 	maxIDBytes             = 256
-	// maxDiscardedBytes of a body that is too large are read and dropped.
+	// maxDiscardedBytes is how much of a body beyond the limit is read and dropped.
 	maxDiscardedBytes    = 1 << 20
 	isolatedRetryDelay   = 2 * time.Second
 	overloadedRetryDelay = time.Second
@@ -59,7 +59,8 @@
 	codeUnauthorised     = "invalid_api_key"
 )
 
-// problem is an answer that is an error.
+// problem is an error response to a caller. An empty ran means NotRun; a zero
+// retryAt means that the response does not say when to retry.
 type problem struct {
 	status  int
 	code    string
@@ -69,7 +70,8 @@
 	retryAt time.Time
 }
 
-// errorBody is the OpenAI API's error shape.
+// errorBody is the error object of the OpenAI API, with the fields ran and
+// retry_at added.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -105,7 +107,8 @@
 	}
 }
 
-// abortWithProblem answers at once with an error, and when to come back.
+// abortWithProblem writes the problem as the response, with a Retry-After header of
+// at least 1 s when it has a retry time, and skips the remaining handlers.
 func abortWithProblem(co *gin.Context, pr problem) {
 	body := pr.body()
 	co.Header(HeaderRan, string(body.Error.Ran))
@@ -120,7 +123,9 @@
 	return &problem{status: http.StatusBadRequest, code: codeInvalid, param: param, message: message}
 }
 
-// limitRequests bounds the requests in service and the time to read one.
+// limitRequests is middleware that bounds the number of requests in flight and the
+// time to read a body. While the entry drains, it closes the connection after the
+// response.
 func (da *Daemon) limitRequests(co *gin.Context) {
 	n := da.inFlight.Add(1)
 	defer da.inFlight.Add(-1)
@@ -139,7 +144,8 @@
 	co.Next()
 }
 
-// authenticate finds the caller's organisation by its key.
+// authenticate is middleware that identifies the caller's organisation by its API
+// key and applies the organisation's limit on requests in flight.
 func (da *Daemon) authenticate(co *gin.Context) {
 	if pr := da.acceptProblem(); pr != nil {
 		abortWithProblem(co, *pr)
@@ -164,7 +170,8 @@
 	co.Next()
 }
 
-// acceptProblem tells why new requests are refused by this entry as a whole.
+// acceptProblem returns why this entry refuses every new request, nil when it
+// accepts them.
 func (da *Daemon) acceptProblem() *problem {
 	if da.book.Full() {
 		return unavailable("bills_full", "this entry cannot keep more bills")
@@ -172,8 +179,8 @@
 	return da.sendProblem()
 }
 
-// sendProblem tells why nothing may be sent by this entry as a whole, whether it
-// was accepted before or not.
+// sendProblem returns why this entry may send nothing to endpoints, including
+// requests that it has already accepted; nil when it may.
 func (da *Daemon) sendProblem() *problem {
 	if da.holder.Set().Revision == 0 {
 		return unavailable("no_configuration", "this entry has no configuration yet")
@@ -188,7 +195,7 @@
 	return &problem{status: http.StatusServiceUnavailable, code: code, message: message, retryAt: time.Now().Add(isolatedRetryDelay)}
 }
 
-// request is one caller's request.
+// request is what chat requests and service calls have in common.
 type request struct {
 	id           string
 	billID       string
@@ -199,8 +206,8 @@
 	body         []byte
 }
 
-// readRequest reads what all requests have; defaultDeadline is used when the
-// caller names none.
+// readRequest reads the headers and the body that all requests have.
+// defaultDeadline is used when the caller sets no deadline.
 func (da *Daemon) readRequest(co *gin.Context, se *policy.Set, defaultDeadline func(ra policy.Rank, arrived time.Time) time.Time) (*request, *problem) {
 	rq := &request{arrived: time.Now(), organisation: policy.OrganisationID(co.GetString(organisationContextKey)), billID: ulid.Make().String()}
 	or, _ := se.Organisations.ByID(rq.organisation)
@@ -226,6 +233,7 @@
 	return rq, nil
 }
 
+// requestID returns the caller's request ID, or a new one when it sent none.
 func requestID(co *gin.Context) (string, *problem) {
 	id := co.GetHeader(HeaderRequestID)
 	if id == "" {
@@ -237,6 +245,8 @@
 	return id, nil
 }
 
+// requestDeadline returns the deadline in the request's header, which is in
+// milliseconds from its arrival, or the default one.
 func requestDeadline(co *gin.Context, rq *request, defaultDeadline func(ra policy.Rank, arrived time.Time) time.Time) (time.Time, *problem) {
 	text := co.GetHeader(HeaderDeadline)
 	if text == "" {
@@ -249,6 +259,8 @@
 	return rq.arrived.Add(time.Duration(ms) * time.Millisecond), nil
 }
 
+// readBody reads the body, up to the configured limit, and then clears the read
+// deadline that limitRequests set.
 func (da *Daemon) readBody(co *gin.Context) ([]byte, *problem) {
 	limit := da.settings.GetServing().GetMaxBodyBytes()
 	body, err := io.ReadAll(io.LimitReader(co.Request.Body, limit+1))
@@ -256,7 +268,7 @@
 	case err != nil:
 		return nil, &problem{status: http.StatusRequestTimeout, code: "body_unreadable", message: "the body could not be read in time"}
 	case int64(len(body)) > limit:
-		// A caller that is still writing reads the answer only afterwards.
+		// A caller that is still sending reads the response only afterwards.
 		_, _ = io.CopyN(io.Discard, co.Request.Body, maxDiscardedBytes)
 		return nil, &problem{status: http.StatusRequestEntityTooLarge, code: "body_too_large", message: "the body is larger than " + strconv.FormatInt(limit, 10) + " bytes"}
 	}
@@ -264,7 +276,8 @@
 	return body, nil
 }
 
-// admissionProblem gives the answer for a request that was not admitted.
+// admissionProblem returns the problem for a request that was not admitted. An
+// error that is not an *admission.Refusal means that the caller has gone.
 func admissionProblem(err error) problem {
 	var re *admission.Refusal
 	if !errors.As(err, &re) {
@@ -284,7 +297,7 @@
 	return pr
 }
 
-// recordRequest records how a request ended.
+// recordRequest adds a finished request to the metrics.
 func (da *Daemon) recordRequest(co *gin.Context, rq *request, outcome string) {
 	da.metrics.Requests.Add(co, 1, metric.With(
 		metric.KeyRank, string(rq.rank.ID), metric.KeyOrganisation, string(rq.organisation), metric.KeyOutcome, outcome))
--- a/entry/cascades.go
+++ b/entry/cascades.go
@@ -12,17 +12,19 @@
 	"tanagerpoint.example/tanager/rpc"
 )
 
-// RatingsPrefix is the prefix of the stewards' items with rating sums, one
-// for each cascade.
+// RatingsPrefix is the key prefix of the items in which stewards publish rating
+// sums. The rest of the key is the cascade's ID.
 const RatingsPrefix = "ratings/"
 
-// cascades holds the choosers.
+// cascades holds a chooser for each cascade.
 //
-// mu guards the choosers. The board's lock is taken before it.
+// mu guards choosers and seenVersions. The board is read before mu is locked,
+// never while it is held.
 type cascades struct {
-	peers        *peer.Group
-	mu           sync.Mutex
-	choosers     map[policy.CascadeID]*cascade.Chooser
+	peers    *peer.Group
+	mu       sync.Mutex
+	choosers map[policy.CascadeID]*cascade.Chooser
+	// seenVersions are the versions of the items last processed, by key.
 	seenVersions map[string]peer.Version
 }
 
@@ -30,12 +32,15 @@
 	return &cascades{peers: pe, choosers: map[policy.CascadeID]*cascade.Chooser{}, seenVersions: map[string]peer.Version{}}
 }
 
+// choose returns the arm for one request and updates the chooser's state.
 func (ca *cascades) choose(rec policy.Cascade, work cascade.Work, arms []cascade.Arm) cascade.Choice {
 	ca.mu.Lock()
 	defer ca.mu.Unlock()
 	return ca.getLocked(rec.ID).Choose(work, arms, rec.QualityTarget)
 }
 
+// getLocked returns the cascade's chooser, and creates it if there is none. mu must
+// be held.
 func (ca *cascades) getLocked(id policy.CascadeID) *cascade.Chooser {
 	ch, ok := ca.choosers[id]
 	if !ok {
@@ -45,7 +50,9 @@
 	return ch
 }
 
-// refresh takes in the stewards' newest rating sums.
+// refresh sets the choosers' estimates from rating sums that stewards have
+// published since the last call, and removes choosers whose cascade is not in the
+// policy.
 func (ca *cascades) refresh(se *policy.Set) {
 	its := ca.peers.Board().Under(RatingsPrefix)
 	ca.mu.Lock()
--- a/entry/chat.go
+++ b/entry/chat.go
@@ -14,12 +14,14 @@
 	"tanagerpoint.example/tanager/session"
 )
 
-// bytesPerToken estimates a prompt's tokens.
+// bytesPerToken is the assumed size of a token, used to estimate the number of
+// tokens of a prompt from the size of the body.
 const bytesPerToken = 4
 
 // chatRequest is a chat completion request.
 type chatRequest struct {
 	*request
+	// modelName is the caller's name of a cascade, a model or a version.
 	modelName     string
 	work          cascade.Work
 	stream        bool
@@ -28,7 +30,7 @@
 	sessionToken  string
 	sessionID     session.ID
 	strictSession bool
-	// sent tells that a byte of the request may have reached an endpoint.
+	// sent is set when a byte of the request may have reached an endpoint.
 	sent bool
 }
 
@@ -49,6 +51,7 @@
 	da.serveChat(co, ch)
 }
 
+// parseChat reads and validates the chat-specific headers and fields of the body.
 func parseChat(co *gin.Context, rq *request) (*chatRequest, *problem) {
 	if !gjson.ValidBytes(rq.body) {
 		return nil, invalidRequest("", "the body is not JSON")
@@ -84,8 +87,9 @@
 	return ch, nil
 }
 
-// engineBody gives the body for an engine: the caller's, with the engine's
-// name of the version, a priority, and always streamed with usage.
+// engineBody returns the body to send to an engine: the caller's body with the
+// engine's name of the version and the rank's priority, and with streaming and
+// usage always on.
 func (ch *chatRequest) engineBody(ve policy.Version) ([]byte, error) {
 	body := ch.body
 	for _, fi := range []struct {
@@ -113,7 +117,8 @@
 	return placement.HashPrefix(ch.organisation, ve.ID, []byte(gjson.GetBytes(ch.body, "messages").Raw))
 }
 
-// handleModels serves GET /v1/models: what the organisation may name.
+// handleModels serves GET /v1/models. It lists the cascades, models and versions
+// that the caller's organisation may use as a model name.
 func (da *Daemon) handleModels(co *gin.Context) {
 	se := da.holder.Set()
 	or, _ := se.Organisations.ByID(policy.OrganisationID(co.GetString(organisationContextKey)))
--- a/entry/connection.go
+++ b/entry/connection.go
@@ -6,8 +6,7 @@
 	"sync"
 )
 
-// connections follows the states of the connections that are open to this
-// entry.
+// connections tracks the states of the connections that are open to this entry.
 //
 // mu guards the states. No other lock is taken while it is held.
 type connections struct {
@@ -19,7 +18,7 @@
 	return &connections{states: map[net.Conn]http.ConnState{}}
 }
 
-// track is an http.Server's ConnState hook.
+// track records a connection's state. It is the ConnState hook of an http.Server.
 func (cs *connections) track(co net.Conn, st http.ConnState) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -30,7 +29,7 @@
 	cs.states[co] = st
 }
 
-// counts gives the number of connections in each state.
+// counts returns the number of connections in each state.
 func (cs *connections) counts() map[string]float64 {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
--- a/entry/entries.go
+++ b/entry/entries.go
@@ -12,7 +12,8 @@
 	"tanagerpoint.example/tanager/vm"
 )
 
-// handleEntries serves GET /v1/entries.
+// handleEntries serves GET /v1/entries. The list leaves out this entry while it is
+// isolated.
 func (da *Daemon) handleEntries(co *gin.Context) {
 	cas := []directory.Candidate{}
 	if !da.isolated.Load() {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,6 +1,6 @@
-// Package entry serves callers on an entry VM: it authenticates, admits,
-// routes, retries, streams and bills their requests, and tells them which
-// entries to use.
+// Package entry implements the daemon of an entry VM. It serves the callers'
+// API: it authenticates, admits, routes, retries, streams and bills requests,
+// and lists the entries that callers may use.
 package entry
 
 import (
@@ -45,9 +45,9 @@
 	pinHandoverInterval = time.Second
 )
 
-// Daemon is one entry. Its parts are safe for concurrent use, and each states
-// its own lock; no lock of one part is held during a call of another, except
-// where a part says so.
+// Daemon is one entry process. Its components are safe for concurrent use, and
+// each documents its own lock. No component calls another while it holds its
+// lock, except where it documents that it does.
 type Daemon struct {
 	settings *rpc.EntrySettings
 	net      network.Network
@@ -82,7 +82,7 @@
 	servers  []*http.Server
 }
 
-// New gives a daemon; Start makes it serve.
+// New returns a daemon that is not yet started; Start makes it serve.
 func New(es *rpc.EntrySettings, ne network.Network, lo *event.Log) (*Daemon, error) {
 	me, err := metric.New()
 	if err != nil {
@@ -94,7 +94,8 @@
 	return da, eris.Wrap(da.addGauges(), "entry.New")
 }
 
-// initClients makes the parts that reach others.
+// initClients creates the components that communicate with the store, the
+// platform, the peers and the endpoints.
 func (da *Daemon) initClients() {
 	es := da.settings
 	da.store = store.NewClient(store.OptionsOf(es.GetStore(), da.net.Dial))
@@ -112,7 +113,8 @@
 	}, da.store, da.peers, da.log)
 }
 
-// initServing makes the parts that hold the decisions.
+// initServing creates the components that route, retry and account for
+// requests. It requires the clients of initClients.
 func (da *Daemon) initServing() {
 	da.tracker = placement.NewTracker(uint64(time.Now().UnixNano()))
 	da.pools = newPools(da)
@@ -128,6 +130,8 @@
 	}
 }
 
+// peerOptions returns this entry's options in the peer group. The address
+// published to callers is the public one, or the listener's when none is set.
 func (da *Daemon) peerOptions() peer.Options {
 	es := da.settings
 	public := es.GetListen().GetCallersPublic()
@@ -140,13 +144,15 @@
 	return opt
 }
 
+// describeMember sets the fields of this entry's member record that change while
+// it runs.
 func (da *Daemon) describeMember(me *rpc.Member) {
 	me.Draining = da.draining.Load()
 	me.InFlight = roundDown(da.inFlight.Load())
 }
 
-// roundDown rounds down to two significant bits, so that the members' states
-// need not be sent again for every request.
+// roundDown rounds n down to two significant bits, so that the member record
+// changes, and is sent to the peers again, less often than once per request.
 func roundDown(n int64) int64 {
 	if n < 4 {
 		return n
@@ -155,7 +161,8 @@
 	return n >> shift << shift
 }
 
-// Start opens the listeners and starts the daemon's work.
+// Start opens the listeners for peers, operators and callers and starts the
+// background goroutines. It returns an error when a listener cannot be opened.
 func (da *Daemon) Start() error {
 	ls := da.settings.GetListen()
 	peers := peer.NewServer(da.peers, da.book, da.pins)
@@ -193,28 +200,31 @@
 	})
 }
 
-// tick brings the decisions up to the present.
+// tick updates the isolation state and advances the queues to the current time.
 func (da *Daemon) tick(context.Context) {
 	da.updateIsolation()
 	da.pools.tick()
 }
 
-// refresh processes the reports of the other daemons.
+// refresh processes what the other daemons have published: usage, version health
+// and rating sums.
 func (da *Daemon) refresh(context.Context) {
 	da.pools.refresh()
 	da.rollouts.refresh()
 	da.cascades.refresh(da.holder.Set())
 }
 
-// publish tells the other entries of this one's work.
+// publish sends this entry's usage and its health counts of candidate versions to
+// the other daemons.
 func (da *Daemon) publish(context.Context) {
 	da.pools.publish()
 	da.rollouts.publish()
 }
 
-// Drain is a graceful shutdown's first part: the daemon leaves the address
-// answers, waits until callers have let go of its address, and until every
-// request has ended or ctx has.
+// Drain is the first phase of a graceful shutdown. It removes this entry from the
+// responses of /v1/entries, waits for address_keep, after which callers no longer
+// use its address, and then blocks until no request is in flight or ctx is done.
+// A second call returns at once.
 func (da *Daemon) Drain(ctx context.Context) {
 	if da.draining.Swap(true) {
 		return
@@ -229,8 +239,9 @@
 	}
 }
 
-// Close ends the daemon. Requests still in service are cut off, so Drain comes
-// first in a graceful shutdown; bills are sealed until ctx ends.
+// Close stops the daemon. It closes the connections of requests in flight, so a
+// graceful shutdown calls Drain first. It seals the remaining bills until ctx is
+// done.
 func (da *Daemon) Close(ctx context.Context) {
 	for _, sv := range da.servers {
 		_ = sv.Close()
@@ -249,7 +260,8 @@
 	da.log.Info(event.Stopped, nil)
 }
 
-// ApplyPolicy brings records into force without a store, as a peer's would be.
+// ApplyPolicy adds records to the policy in force without a store, as if a peer
+// had sent them. The policy's revision becomes the newest of the records'.
 func (da *Daemon) ApplyPolicy(records []policy.Stored) {
 	newest := store.Revision(0)
 	for _, st := range records {
@@ -258,7 +270,7 @@
 	da.holder.Update(newest, records)
 }
 
-// Handler gives the callers' listener's routes.
+// Handler returns the HTTP handler of the callers' API.
 func (da *Daemon) Handler() http.Handler {
 	en := gin.New()
 	en.HandleMethodNotAllowed = true
--- a/entry/explain.go
+++ b/entry/explain.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// maxExplanations is how many requests are remembered.
+	// maxExplanations is the number of requests whose steps are kept.
 	maxExplanations = 4096
-	// maxSteps bounds the steps remembered of one request.
+	// maxSteps is the number of steps kept per request; later ones are dropped.
 	maxSteps = 32
 )
 
-// explanations remembers why the last requests went where they did.
+// explanations keeps the steps of the most recent requests, by request ID.
 type explanations struct {
 	byID *lru.Cache[string, *stepLog]
 }
@@ -30,13 +30,16 @@
 	return &explanations{byID: ca}
 }
 
-// stepLog collects one request's steps.
+// stepLog records the steps of one request.
+//
+// mu guards the explanation. No other lock is taken while it is held.
 type stepLog struct {
 	mu          sync.Mutex
 	explanation Explanation
 }
 
-// Explanation is why a request went where it did.
+// Explanation lists what an entry did with a request, as GET /v1/explain/:id
+// returns it.
 type Explanation struct {
 	RequestID    string                `json:"request_id"`
 	BillID       string                `json:"bill_id"`
@@ -46,12 +49,14 @@
 	Steps        []Step                `json:"steps"`
 }
 
-// Step is one thing that happened to a request.
+// Step is one event in the processing of a request.
 type Step struct {
 	At   time.Time `json:"at"`
 	Text string    `json:"text"`
 }
 
+// startRequest adds an empty step log for a request. It replaces that of an earlier
+// request with the same ID.
 func (exs *explanations) startRequest(rq *request) *stepLog {
 	out := &stepLog{explanation: Explanation{
 		RequestID: rq.id, BillID: rq.billID, Organisation: rq.organisation, Arrived: rq.arrived, Deadline: rq.deadline,
@@ -60,6 +65,7 @@
 	return out
 }
 
+// get returns the explanation of a request, false when it is not kept.
 func (exs *explanations) get(id string) (Explanation, bool) {
 	out, ok := exs.byID.Get(id)
 	if !ok {
@@ -70,6 +76,7 @@
 	return out.explanation, true
 }
 
+// add appends a step with a formatted text and the current time.
 func (sl *stepLog) add(format string, args ...any) {
 	sl.mu.Lock()
 	defer sl.mu.Unlock()
--- a/entry/fuzz_test.go
+++ b/entry/fuzz_test.go
@@ -15,8 +15,9 @@
 	"tanagerpoint.example/tanager/rpc"
 )
 
-// FuzzChat puts bodies and headers to an entry that has a policy and no
-// endpoints.
+// FuzzChat sends chat requests with arbitrary bodies and headers to an entry that
+// has a policy but no endpoints. It guards against input that causes an internal
+// error or that is answered with 200, which needs an endpoint.
 func FuzzChat(f *testing.F) {
 	gin.SetMode(gin.ReleaseMode)
 	es := &rpc.EntrySettings{
@@ -47,7 +48,7 @@
 		rs := httptest.NewRecorder()
 		ha.ServeHTTP(rs, rq)
 		if rs.Code == http.StatusInternalServerError || rs.Code == http.StatusOK {
-			t.Fatalf("answered %d: %s", rs.Code, rs.Body)
+			t.Fatalf("entry without endpoints responded with %d, want neither 200 nor 500: %s", rs.Code, rs.Body)
 		}
 	})
 }
--- a/entry/inflight.go
+++ b/entry/inflight.go
@@ -9,7 +9,7 @@
 	"tanagerpoint.example/tanager/policy"
 )
 
-// inFlightLimiter counts each organisation's requests at this entry.
+// inFlightLimiter limits each organisation's requests in flight at this entry.
 //
 // mu guards the counts. No other lock is taken while it is held.
 type inFlightLimiter struct {
@@ -21,8 +21,10 @@
 	return &inFlightLimiter{counts: map[policy.OrganisationID]int64{}}
 }
 
-// acquire counts a request, or refuses it when the organisation has as many as
-// this entry's part of its bound.
+// acquire counts a request, or returns a problem when the organisation already has
+// as many in flight as this entry allows: MaxInFlight divided evenly among the
+// entries and rounded up. A MaxInFlight of 0 means no limit. release must follow
+// when it returns nil.
 func (in *inFlightLimiter) acquire(or policy.Organisation, entries int) *problem {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -37,7 +39,7 @@
 	return nil
 }
 
-// release ends a request.
+// release removes a request that acquire counted.
 func (in *inFlightLimiter) release(id policy.OrganisationID) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
--- a/entry/pool.go
+++ b/entry/pool.go
@@ -15,7 +15,8 @@
 	"tanagerpoint.example/tanager/store"
 )
 
-// poolID names the endpoints behind one queue: a model's or a service's.
+// poolID identifies a pool: the endpoints of one model or service, which share a
+// queue.
 type poolID string
 
 func modelPool(id policy.ModelID) poolID     { return poolID("model/" + string(id)) }
@@ -23,41 +24,46 @@
 
 const (
 	usagePrefix = "usage/"
-	// initialSecondsPerToken and firstTokensPerAnswer are assumed until answers
-	// have ended.
+	// initialSecondsPerToken and initialTokensPerAnswer are the estimates for a
+	// rank until its first answer ends.
 	initialSecondsPerToken = 0.01
 	initialTokensPerAnswer = 128
-	estimateSmoothing      = 0.05
-	// minReportedUsage is the smoothed use, in slots, that is worth telling.
+	// estimateSmoothing is the weight of a new answer in the moving averages.
+	estimateSmoothing = 0.05
+	// minReportedUsage is the smoothed usage, in slots, below which an idle level
+	// is left out of the report.
 	minReportedUsage = 0.01
 )
 
-// pool is one queue and what it knows of its answers' pace.
+// pool is the queue of one pool and the estimates of its answers' length and
+// speed.
 type pool struct {
 	gate *admission.Gate
-	// mu guards paces.
+	// mu guards estimates.
 	mu        sync.Mutex
 	estimates map[policy.RankID]answerEstimate
 }
 
-// answerEstimate is what a rank's answers took.
+// answerEstimate holds moving averages over the answers of one rank.
 type answerEstimate struct {
 	secondsPerToken float64
 	tokensPerAnswer float64
 }
 
-// pools holds the queues, and the endpoints by version and service.
+// pools holds the queues, and the endpoints by pool and by version.
 //
-// mu guards the maps. A queue's own lock is taken after it, never before.
+// mu guards the fields below it. A queue's lock may be taken while mu is held, but
+// mu must not be taken while a queue's lock is held.
 type pools struct {
 	daemon *Daemon
 
 	mu sync.Mutex
-	// endpointsRevision is the policy that the endpoints are of, refreshed the one that
-	// the queues are of.
+	// endpointsRevision is the policy revision from which the endpoints were built,
+	// queuesRevision the one from which the queues were last refreshed.
 	endpointsRevision store.Revision
 	queuesRevision    store.Revision
-	// remoteVersions are the others' items as last processed.
+	// remoteVersions are the versions of the other entries' usage items last
+	// processed, by key.
 	remoteVersions     map[string]peer.Version
 	queues             map[poolID]*pool
 	endpointsByPool    map[poolID]*placement.Pool
@@ -68,7 +74,8 @@
 	return &pools{daemon: da, queues: map[poolID]*pool{}}
 }
 
-// get gives a queue, brought up to the policy in force.
+// get returns a pool, creating it if needed, and refreshes the queues first when
+// the pool is new or they are older than the policy in force.
 func (po *pools) get(id poolID) *pool {
 	po.mu.Lock()
 	_, known := po.queues[id]
@@ -81,6 +88,7 @@
 	return pl
 }
 
+// getLocked returns a pool, and creates it if needed. mu must be held.
 func (po *pools) getLocked(id poolID) *pool {
 	pl, ok := po.queues[id]
 	if !ok {
@@ -93,7 +101,8 @@
 	return pl
 }
 
-// versionEndpoints gives the endpoints that should serve a version.
+// versionEndpoints returns the endpoints that serve a version according to the
+// policy in force.
 func (po *pools) versionEndpoints(id policy.VersionID) *placement.Pool {
 	po.mu.Lock()
 	defer po.mu.Unlock()
@@ -104,7 +113,7 @@
 	return placement.NewPool(nil)
 }
 
-// serviceEndpoints gives the endpoints of a plain service.
+// serviceEndpoints returns the endpoints of a plain service.
 func (po *pools) serviceEndpoints(id policy.ServiceID) *placement.Pool {
 	po.mu.Lock()
 	defer po.mu.Unlock()
@@ -115,7 +124,8 @@
 	return placement.NewPool(nil)
 }
 
-// rebuildLocked brings the endpoints up to the policy in force.
+// rebuildLocked rebuilds the endpoint maps if the policy has changed, and removes
+// endpoints that are not in the policy from the tracker. mu must be held.
 func (po *pools) rebuildLocked() {
 	se := po.daemon.holder.Set()
 	if se.Revision == po.endpointsRevision && po.endpointsByVersion != nil {
@@ -154,7 +164,8 @@
 	})
 }
 
-// refresh sets each queue's ranks, capacity and the other entries' usage.
+// refresh sets the ranks and the capacity of each queue, and the usage that the
+// other entries reported.
 func (po *pools) refresh() {
 	po.mu.Lock()
 	po.rebuildLocked()
@@ -187,7 +198,8 @@
 	po.mu.Unlock()
 }
 
-// tick starts and refuses what is due in every queue.
+// tick starts the requests that may now run in each queue, and refuses those that
+// can no longer meet their deadline.
 func (po *pools) tick() {
 	po.each(func(_ poolID, pl *pool) { pl.gate.Tick() })
 }
@@ -200,7 +212,7 @@
 	return out
 }
 
-// usableSlots adds up what the usable endpoints of a pool serve at once.
+// usableSlots returns the sum of the slots of a pool's usable, healthy endpoints.
 func (po *pools) usableSlots(pl *placement.Pool) float64 {
 	if pl == nil {
 		return 0
@@ -214,24 +226,28 @@
 	return float64(sum)
 }
 
-// usable tells whether an endpoint may get new work: neither an operator nor
-// the VM list says that it is leaving.
+// usable reports whether an endpoint may get new work: it is still in the policy,
+// no operator is draining it, and the VM list does not mark it as leaving.
 func (da *Daemon) usable(en policy.Endpoint) bool {
 	now, ok := da.holder.Set().Endpoints.ByID(en.ID)
 	return ok && !now.Draining && !da.vms.EndpointLeaving(string(en.ID))
 }
 
-// remoteUsage is what the other entries reported of their work.
+// remoteUsage is the sum of what the other entries reported. entries counts the
+// entries that serve requests, this one included.
 type remoteUsage struct {
 	entries int
 	demand  map[poolID]float64
 	reports map[poolID]admission.Report
-	// inFlight is what the others have in flight at each endpoint.
+	// inFlight is the number of requests that the other entries have in flight at
+	// each endpoint.
 	inFlight map[policy.EndpointID]int
-	// changed tells that a report came since the last time.
+	// changed is set when the reports differ from those read last.
 	changed bool
 }
 
+// readRemoteUsage adds up the usage items of the other entries. A draining entry
+// counts until its last request has ended.
 func (po *pools) readRemoteUsage() remoteUsage {
 	re := remoteUsage{entries: 1, demand: map[poolID]float64{}, reports: map[poolID]admission.Report{}, inFlight: map[policy.EndpointID]int{}}
 	seen := map[string]peer.Version{}
@@ -251,6 +267,7 @@
 	return re
 }
 
+// addItem adds one entry's usage item. It ignores an item that does not decode.
 func (re *remoteUsage) addItem(it peer.Item) {
 	var us rpc.Usage
 	if proto.Unmarshal(it.Value, &us) != nil {
@@ -278,6 +295,7 @@
 	}
 }
 
+// demand returns the number of requests that run or wait in the queue.
 func (pl *pool) demand() float64 {
 	demand := 0.0
 	pl.gate.Change(func(qu *admission.Queue, _ time.Time) {
@@ -287,7 +305,8 @@
 	return demand
 }
 
-// publish tells the other entries what this one served and wants.
+// publish sends this entry's served usage, demand and requests in flight to the
+// other entries.
 func (po *pools) publish() {
 	po.mu.Lock()
 	queues := maps.Clone(po.queues)
@@ -302,7 +321,7 @@
 	po.daemon.peers.Publish(usagePrefix+string(po.daemon.peers.VM()), us)
 }
 
-// usage gives the report on a queue for the other entries.
+// usage returns the report on the queue for the other entries.
 func (pl *pool) usage(id poolID) *rpc.PoolUsage {
 	pu := &rpc.PoolUsage{Pool: string(id), Demand: pl.demand()}
 	pl.gate.Change(func(qu *admission.Queue, now time.Time) {
@@ -324,7 +343,8 @@
 	return pu
 }
 
-// estimate gives the tokens and the time that a rank's answer is expected to take.
+// estimate returns the expected number of tokens of a rank's answer, at most
+// maxTokens when that is set, and the expected time to generate them.
 func (pl *pool) estimate(id policy.RankID, maxTokens int64) (tokens float64, duration time.Duration) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
@@ -336,6 +356,7 @@
 	return tokens, time.Duration(tokens * ae.secondsPerToken * float64(time.Second))
 }
 
+// estimateLocked returns the rank's estimate, or the initial one. mu must be held.
 func (pl *pool) estimateLocked(id policy.RankID) answerEstimate {
 	if ae, ok := pl.estimates[id]; ok {
 		return ae
@@ -343,7 +364,8 @@
 	return answerEstimate{secondsPerToken: initialSecondsPerToken, tokensPerAnswer: initialTokensPerAnswer}
 }
 
-// observe learns from an answer that ended.
+// observe updates the rank's estimate with an answer that ended. An answer without
+// tokens is ignored.
 func (pl *pool) observe(id policy.RankID, tokens int64, took time.Duration) {
 	if tokens <= 0 {
 		return
@@ -356,7 +378,7 @@
 	pl.estimates[id] = ae
 }
 
-// each visits every queue.
+// each calls fn for every pool, without holding mu.
 func (po *pools) each(fn func(id poolID, pl *pool)) {
 	po.mu.Lock()
 	queues := maps.Clone(po.queues)
--- a/entry/rating.go
+++ b/entry/rating.go
@@ -13,17 +13,21 @@
 )
 
 const (
-	// maxQueuedRatings bounds the answers waiting for the rating service.
+	// maxQueuedRatings is the number of answers that may wait for the rating
+	// service.
 	maxQueuedRatings = 256
 	submitTimeout    = 2 * time.Second
-	// rolloutRatedShare of the answers of a model under roll-out are rated.
+	// rolloutRatedShare is the minimum share of answers that is rated during a
+	// roll-out of their model.
 	rolloutRatedShare = 0.1
-	// candidateRatedShare of a candidate's answers are rated.
+	// candidateRatedShare is the share of a candidate version's answers that is
+	// rated.
 	candidateRatedShare = 1.0
 )
 
-// ratingSubmitter hands answers to the rating service in the background, and
-// drops them while it cannot keep up: ratings are a sample.
+// ratingSubmitter sends answers to the rating service in the background. It drops
+// answers while its queue is full, and those whose submission fails, because
+// ratings are only a sample.
 type ratingSubmitter struct {
 	service *rating.Service
 	queue   chan rating.Answer
@@ -33,6 +37,7 @@
 	return &ratingSubmitter{service: se, queue: make(chan rating.Answer, maxQueuedRatings)}
 }
 
+// submit queues an answer, or drops it when the queue is full. It does not block.
 func (rs *ratingSubmitter) submit(an rating.Answer) {
 	select {
 	case rs.queue <- an:
@@ -40,6 +45,7 @@
 	}
 }
 
+// run sends the queued answers one at a time until ctx is done.
 func (rs *ratingSubmitter) run(ctx context.Context) {
 	for {
 		select {
@@ -53,8 +59,9 @@
 	}
 }
 
-// inRatingSample decides by the request's id, so that the answer is the same
-// whenever it is asked.
+// inRatingSample reports whether the answer is in the sample to be rated. It
+// decides by a hash of the bill ID, which is unique to the request, so that
+// repeated calls for one request agree.
 func (ch *chatRequest) inRatingSample(an *answerRelay) bool {
 	share := 0.0
 	se := an.daemon.holder.Set()
--- a/entry/resolve.go
+++ b/entry/resolve.go
@@ -10,20 +10,21 @@
 	"tanagerpoint.example/tanager/session"
 )
 
-// target is where a request is to run.
+// target is the model and version that a request runs on.
 type target struct {
 	model   policy.ModelID
 	version policy.Version
 	// cascade is set when a cascade chose the model.
 	cascade policy.CascadeID
 	choice  cascade.Choice
-	// movedFrom is the withdrawn version that the session had.
+	// movedFrom is the session's earlier version, set when it was withdrawn.
 	movedFrom policy.VersionID
-	// pinned tells that the session had the version before.
+	// pinned is set when the session already had the version.
 	pinned bool
 }
 
-// resolve decides the model and version of a request under a policy set.
+// resolve returns the model and version for a request under a policy set. A
+// request that names a version gets it regardless of its session.
 func (da *Daemon) resolve(ctx context.Context, se *policy.Set, ch *chatRequest) (target, *problem) {
 	or, ok := se.Organisations.ByID(ch.organisation)
 	if !ok {
@@ -46,7 +47,7 @@
 	return target{model: policy.ModelID(ve.Model), version: ve}, nil
 }
 
-// assignVersion decides for a request without a session.
+// assignVersion chooses the model and version as for a new session.
 func (da *Daemon) assignVersion(se *policy.Set, or policy.Organisation, ch *chatRequest) (target, *problem) {
 	if ca, ok := se.Cascades.ByID(policy.CascadeID(ch.modelName)); ok {
 		if !or.AllowsCascade(ca.ID) {
@@ -66,8 +67,8 @@
 	return target{model: mo.ID, version: ve}, nil
 }
 
-// assignCascade chooses among the cascade's models that the organisation may
-// use and that have endpoints.
+// assignCascade chooses among the cascade's models that the organisation may use
+// and that have usable endpoints.
 func (da *Daemon) assignCascade(se *policy.Set, or policy.Organisation, ca policy.Cascade, ch *chatRequest) (target, *problem) {
 	var arms []cascade.Arm
 	var versions []policy.Version
@@ -95,9 +96,10 @@
 	return target{model: arms[ci.Index].Model, version: versions[ci.Index], cascade: ca.ID, choice: ci}, nil
 }
 
-// applySession gives a session the version that it has. A session whose version
-// was withdrawn goes on with the assigned one, and the caller is told; a caller
-// that asked for strictness is refused.
+// applySession replaces the assigned target tg by the version that the request's
+// session already has. If that version was withdrawn, the session moves to the
+// assigned one and movedFrom is set, or the request is refused when the caller set
+// X-Tanager-Session-Strict.
 func (da *Daemon) applySession(ctx context.Context, se *policy.Set, or policy.Organisation, ch *chatRequest, tg target) (target, *problem) {
 	had, pr := da.sessionVersion(ctx, ch, tg, "")
 	if pr != nil || had == "" {
@@ -122,8 +124,9 @@
 	return tg, nil
 }
 
-// sessionVersion gives the version that the request's session has, pinning
-// the assigned one for a new session. "" without a session.
+// sessionVersion returns the version of the request's session, "" when the request
+// has none. It pins the assigned version for a new session ID, and for one that is
+// pinned to replaced.
 func (da *Daemon) sessionVersion(ctx context.Context, ch *chatRequest, tg target, replaced policy.VersionID) (policy.VersionID, *problem) {
 	if ch.sessionToken != "" {
 		cl, err := da.signer.Check(ch.sessionToken)
@@ -142,8 +145,9 @@
 	return da.pins.Version(ctx, key, tg.version.ID, replaced), nil
 }
 
-// versionProblem tells why a version must not run for an organisation under a set;
-// nil when it may. It is asked at admission and again before every send.
+// versionProblem returns why a version must not run for an organisation under a
+// policy set, nil when it may. It is called at admission and again before every
+// send, since the policy may have changed in between.
 func versionProblem(se *policy.Set, or policy.OrganisationID, id policy.VersionID) *problem {
 	og, ok := se.Organisations.ByID(or)
 	ve, known := se.Versions.ByID(id)
--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -13,14 +13,17 @@
 	"tanagerpoint.example/tanager/rpc"
 )
 
-// HealthPrefix is the prefix of the entries' items on candidate versions:
-// health/ROLLOUT/VM.
+// HealthPrefix is the key prefix of the items in which entries publish the health
+// of candidate versions. The keys have the form health/ROLLOUT/VM.
 const HealthPrefix = "health/"
 
-// rollouts judges candidate versions by what this entry sees, and stops a bad
-// one at once; the other entries hear of it, and a steward aborts the roll-out.
+// rollouts evaluates candidate versions by the outcomes that this entry observes.
+// It immediately stops assigning new sessions to a bad candidate and publishes
+// the finding, by which the other entries stop too and a steward aborts the
+// roll-out.
 //
-// mu guards guards and suspects. The board's lock is taken before it.
+// mu guards guards and suspects. publish holds it while it takes the locks of the
+// peer group and of the board; mu is never taken while one of these is held.
 type rollouts struct {
 	peers  *peer.Group
 	holder *configuration.Holder
@@ -28,19 +31,21 @@
 
 	mu     sync.Mutex
 	guards map[policy.RolloutID]*guardedRollout
-	// suspects are the versions that this entry or another one found bad.
+	// suspects are the candidate versions that this entry or another one found bad.
 	suspects map[policy.VersionID]bool
 }
 
+// guardedRollout is an active roll-out and the outcomes observed in it.
 type guardedRollout struct {
 	rollout policy.Rollout
-	// phase is the record's state that the counts belong to.
-	phase  rolloutPhase
-	guard  rollout.Guard
+	// phase identifies the run of the record that the counts belong to.
+	phase rolloutPhase
+	guard rollout.Guard
+	// reason is why the candidate was found bad, "" when it was not.
 	reason string
 }
 
-// rolloutPhase tells two runs of one roll-out record apart.
+// rolloutPhase distinguishes two runs of one roll-out record by their versions.
 type rolloutPhase struct {
 	to   policy.VersionID
 	from policy.VersionID
@@ -57,20 +62,22 @@
 	}
 }
 
-// isSuspect tells whether a candidate must get no new sessions.
+// isSuspect reports whether a candidate must get no new sessions.
 func (ro *rollouts) isSuspect(id policy.VersionID) bool {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
 	return ro.suspects[id]
 }
 
-// isCandidate tells whether a target's version is on trial.
+// isCandidate reports whether a target's version is the candidate of an active
+// roll-out.
 func (ro *rollouts) isCandidate(tg target) bool {
 	rec, ok := ro.holder.Set().ActiveRollout(tg.model)
 	return ok && policy.VersionID(rec.ToVersion) == tg.version.ID
 }
 
-// observe adds an attempt's outcome.
+// observe records an attempt's outcome if its model is being rolled out, and marks
+// the candidate as suspect once the guard finds it bad.
 func (ro *rollouts) observe(tg target, ou rollout.Outcome) {
 	rec, ok := ro.holder.Set().ActiveRollout(tg.model)
 	if !ok {
@@ -91,6 +98,8 @@
 	}
 }
 
+// getLocked returns the state of a roll-out, and starts it anew when the record's
+// versions have changed. mu must be held.
 func (ro *rollouts) getLocked(rec policy.Rollout) *guardedRollout {
 	gu, ok := ro.guards[rec.ID]
 	if !ok || gu.phase != phaseOf(rec) {
@@ -101,7 +110,8 @@
 	return gu
 }
 
-// refresh forgets ended roll-outs, and learns which versions others suspect.
+// refresh removes the state of ended roll-outs, and sets the suspects from this
+// entry's findings and those that the other entries published.
 func (ro *rollouts) refresh() {
 	se := ro.holder.Set()
 	reported := map[policy.VersionID]bool{}
@@ -128,7 +138,8 @@
 	}
 }
 
-// publish tells the others what this entry saw of candidates.
+// publish sends this entry's counts and findings on candidate versions to the
+// other daemons.
 func (ro *rollouts) publish() {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -21,16 +21,18 @@
 )
 
 const (
-	// maxVersionChoices bounds how often a request is given another version because
-	// its own was withdrawn on the way.
+	// maxVersionChoices is how often the version of a request is chosen: once, and
+	// again each time the chosen version is withdrawn before the send.
 	maxVersionChoices = 3
-	// billCopyTimeout is the longest that an answer's end waits for its bill's copies.
+	// billCopyTimeout is the longest time that the end of an answer is held back
+	// until the copies of its bill are stored.
 	billCopyTimeout = 1500 * time.Millisecond
-	// secondsPerPromptKiloToken is the expected time of reading a prompt.
+	// secondsPerPromptKiloToken is the expected time to process 1000 prompt tokens.
 	secondsPerPromptKiloToken = 0.1
 )
 
-// serveChat runs a request and answers it.
+// serveChat runs a chat request and writes the response. It chooses the version
+// again when that is withdrawn before the send.
 func (da *Daemon) serveChat(co *gin.Context, ch *chatRequest) {
 	ctx, cancel := context.WithDeadline(co.Request.Context(), ch.deadline)
 	defer cancel()
@@ -54,6 +56,8 @@
 	})
 }
 
+// abortChat records a refused request and writes the problem, which says that the
+// outcome is unknown when a byte of the request may have reached an endpoint.
 func (da *Daemon) abortChat(co *gin.Context, ch *chatRequest, sl *stepLog, pr problem) {
 	if ch.sent {
 		pr.ran = RanUnknown
@@ -63,7 +67,9 @@
 	abortWithProblem(co, pr)
 }
 
-// runChat takes a request through the queue and an endpoint to its caller.
+// runChat waits in the queue for a slot, sends the request to an endpoint and
+// relays the answer. A nil error means that a response was started; otherwise the
+// error is errWithdrawn or a *problem.
 func (da *Daemon) runChat(ctx context.Context, co *gin.Context, ch *chatRequest, tg target, sl *stepLog) error {
 	pl := da.pools.get(modelPool(tg.model))
 	ti, pr := da.chatTicket(ch, pl)
@@ -101,7 +107,8 @@
 	return nil
 }
 
-// chatTicket gives the request's ticket for a queue.
+// chatTicket returns the request's ticket for a queue, with its cost in expected
+// tokens and the latest start by which it can meet its deadline.
 func (da *Daemon) chatTicket(ch *chatRequest, pl *pool) (*admission.Ticket, *problem) {
 	or, ok := da.holder.Set().Organisations.ByID(ch.organisation)
 	if !ok {
@@ -115,7 +122,9 @@
 	}, nil
 }
 
-// finalError gives the caller's error for attempts that all failed.
+// finalError returns the error for the caller when all attempts have failed: err
+// itself if it is errWithdrawn or a *problem, otherwise a *problem that describes
+// it.
 func (at *attempts) finalError(ctx context.Context, err error) error {
 	var pr *problem
 	if errors.Is(err, errWithdrawn) || errors.As(err, &pr) {
@@ -132,7 +141,8 @@
 	return out
 }
 
-// abortChatOnError answers with the error of a request that got no answer.
+// abortChatOnError writes the problem when err is one. A nil err means that the
+// response was already written.
 func (da *Daemon) abortChatOnError(co *gin.Context, ch *chatRequest, sl *stepLog, err error) {
 	var pr *problem
 	if errors.As(err, &pr) {
@@ -140,7 +150,7 @@
 	}
 }
 
-// answerRelay passes one answer to its caller.
+// answerRelay relays one answer from an endpoint to the caller.
 type answerRelay struct {
 	daemon  *Daemon
 	chat    *chatRequest
@@ -149,10 +159,13 @@
 	steps   *stepLog
 	answer  answerBuilder
 	failure error
-	// callerGone tells that failure is the caller's, not the endpoint's.
+	// callerGone is set when failure came from writing to the caller, not from
+	// reading from the endpoint.
 	callerGone bool
 }
 
+// outputTokens returns the completion tokens that the endpoint reported, or the
+// number of content chunks when it reported none.
 func (an *answerRelay) outputTokens() policy.Tokens {
 	if an.answer.usage != nil {
 		return an.answer.usage.CompletionTokens
@@ -160,6 +173,8 @@
 	return policy.Tokens(an.answer.contentChunks)
 }
 
+// inputTokens returns the prompt tokens that the endpoint reported, or an estimate
+// from the size of the body.
 func (an *answerRelay) inputTokens() policy.Tokens {
 	if an.answer.usage != nil {
 		return an.answer.usage.PromptTokens
@@ -177,7 +192,8 @@
 	an.finish(ctx, co, aw)
 }
 
-// setHeaders tells the caller where the answer comes from.
+// setHeaders sets the response headers that name the version, the endpoint, the
+// bill and the session token.
 func (an *answerRelay) setHeaders(co *gin.Context) {
 	co.Header(HeaderVersion, string(an.target.version.ID))
 	co.Header(HeaderEndpoint, string(an.opened.endpoint.ID))
@@ -194,7 +210,8 @@
 	}
 }
 
-// relay reads the answer to its end and passes it on.
+// relay reads the answer to its end and writes each chunk to the caller. It sets
+// failure when either side fails.
 func (an *answerRelay) relay(aw answerWriter) {
 	ev, ended := an.opened.first, an.opened.ended
 	for !ended {
@@ -215,8 +232,9 @@
 	}
 }
 
-// finish bills an answer and then lets its end go to the caller. A part of an
-// answer is billed when the caller left, not when the endpoint failed.
+// finish records the bill and only then writes the end of the answer to the
+// caller. An incomplete answer is billed when the caller disconnected, but not when
+// the endpoint failed or the deadline passed.
 func (an *answerRelay) finish(ctx context.Context, co *gin.Context, aw answerWriter) {
 	outcome := "answered"
 	switch {
@@ -248,6 +266,7 @@
 	an.daemon.recordRequest(co, an.chat.request, outcome)
 }
 
+// recordBill adds the bill of a chat answer.
 func (an *answerRelay) recordBill(outcome string) {
 	ve := an.target.version
 	bi := &rpc.Bill{
@@ -260,8 +279,9 @@
 	an.daemon.addBill(bi)
 }
 
-// addBill waits for a bill's copies, for a while: an answer is not held back
-// by its bill, which stays with this entry until it is sealed.
+// addBill adds a bill to the book and waits up to billCopyTimeout until its copies
+// are stored. A failure is only logged and does not hold back the answer, since
+// this entry keeps the bill until it is sealed.
 func (da *Daemon) addBill(bi *rpc.Bill) {
 	ctx, cancel := context.WithTimeout(da.group.Context(), billCopyTimeout)
 	defer cancel()
--- a/entry/service.go
+++ b/entry/service.go
@@ -21,13 +21,14 @@
 
 const (
 	maxPlainAnswerBytes = 8 << 20
-	// claimFinishTimeout is the longest that an answer waits to be kept.
+	// claimFinishTimeout is the longest time that an answer is held back until it is
+	// stored with its claim.
 	claimFinishTimeout = 2 * time.Second
-	// claimTimeout is the longest that a call waits for its claim.
+	// claimTimeout is the longest time that a call waits for its claim.
 	claimTimeout = 2 * time.Second
 )
 
-// serviceCall is a call of a plain service.
+// serviceCall is a call to a plain service.
 type serviceCall struct {
 	*request
 	service        policy.Service
@@ -38,7 +39,7 @@
 	steps          *stepLog
 }
 
-// handleService serves /v1/services/SERVICE/PATH.
+// handleService serves /v1/services/SERVICE/PATH for all methods.
 func (da *Daemon) handleService(co *gin.Context) {
 	se := da.holder.Set()
 	sv, pr := da.findService(co, se)
@@ -73,6 +74,8 @@
 	}
 }
 
+// findService returns the service that the path names, or a problem when it does
+// not exist or the organisation may not use it.
 func (da *Daemon) findService(co *gin.Context, se *policy.Set) (policy.Service, *problem) {
 	id := policy.ServiceID(co.Param("service"))
 	sv, ok := se.Services.ByID(id)
@@ -83,8 +86,8 @@
 	return sv, nil
 }
 
-// forwardedHeader gives the headers that go on to a service: what describes
-// the body, and the idempotency key. The caller's key does not.
+// forwardedHeader returns the headers that are forwarded to a service: the content
+// headers and the idempotency key. The caller's API key is not forwarded.
 func forwardedHeader(he http.Header) http.Header {
 	out := http.Header{}
 	for _, name := range []string{"Content-Type", "Accept", "Accept-Language", HeaderIdempotency} {
@@ -97,8 +100,8 @@
 
 func (ca *serviceCall) repeatable() bool { return ca.service.Repeatable(ca.method) }
 
-// serveCall runs a call through the queue; one that may not be repeated and
-// has a key is claimed first.
+// serveCall waits in the queue for a slot and runs the call. A call that may not be
+// repeated and has an idempotency key is claimed in the store before it is run.
 func (da *Daemon) serveCall(ctx context.Context, co *gin.Context, ca *serviceCall) *problem {
 	pl := da.pools.get(servicePool(ca.service.ID))
 	ti, pr := da.callTicket(ca)
@@ -132,6 +135,7 @@
 	return da.runCall(ctx, co, ca, ho)
 }
 
+// callTicket returns the call's ticket for the queue; each call costs 1.
 func (da *Daemon) callTicket(ca *serviceCall) (*admission.Ticket, *problem) {
 	or, ok := da.holder.Set().Organisations.ByID(ca.organisation)
 	if !ok {
@@ -140,7 +144,8 @@
 	return &admission.Ticket{Organisation: ca.organisation, Share: or.Share, Rank: ca.rank.ID, Cost: 1, LatestStart: ca.deadline}, nil
 }
 
-// answerDuplicate answers a call that was claimed before.
+// answerDuplicate responds to a call that was claimed before: with the stored
+// answer, or with a problem that states what is known of the earlier call.
 func (da *Daemon) answerDuplicate(co *gin.Context, ca *serviceCall, re claim.Record) *problem {
 	now := time.Now()
 	ca.steps.add("claimed before: %s", re.State)
@@ -162,8 +167,9 @@
 	}
 }
 
-// runCall sends a call, again only when it may be repeated, or when no byte of
-// it can have reached an endpoint.
+// runCall sends a call and writes the response. It retries a failed call only when
+// the call may be repeated, or when no byte of it can have reached an endpoint. ho
+// is the call's claim, nil when it has none.
 func (da *Daemon) runCall(ctx context.Context, co *gin.Context, ca *serviceCall, ho *claim.Hold) *problem {
 	var tried []policy.EndpointID
 	sent := false
@@ -187,7 +193,8 @@
 	}
 }
 
-// sendCall makes one attempt.
+// sendCall sends the call to one endpoint that was not tried before. A problem
+// means that this attempt sent nothing; an error means that it failed.
 func (da *Daemon) sendCall(ctx context.Context, ca *serviceCall, tried []policy.EndpointID) (policy.Endpoint, endpoint.PlainAnswer, *problem, error) {
 	en, ok := da.tracker.Choose(time.Now(), da.pools.serviceEndpoints(ca.service.ID), 0, tried, da.usable)
 	if !ok {
@@ -218,7 +225,8 @@
 	return en, an, nil, err
 }
 
-// callProblem tells why a call must not be sent under the policy in force now.
+// callProblem returns why a call must not be sent under the policy in force now,
+// nil when it may.
 func (da *Daemon) callProblem(ca *serviceCall) *problem {
 	or, known := da.holder.Set().Organisations.ByID(ca.organisation)
 	if !known || !or.AllowsService(ca.service.ID) {
@@ -227,8 +235,8 @@
 	return da.sendProblem()
 }
 
-// failCall says whether a failed call was run, and gives its claim back when
-// nothing of it was sent.
+// failCall returns the problem with ran set, and releases the call's claim when
+// nothing of the call was sent.
 func (da *Daemon) failCall(ho *claim.Hold, sent bool, pr problem) *problem {
 	pr.ran = NotRun
 	if sent {
@@ -239,7 +247,8 @@
 	return &pr
 }
 
-// answerCall bills a call, keeps its answer, and gives it to the caller.
+// answerCall records the bill, stores the answer with the claim if there is one,
+// and writes the answer to the caller.
 func (da *Daemon) answerCall(co *gin.Context, ca *serviceCall, ho *claim.Hold, en policy.Endpoint, an endpoint.PlainAnswer) *problem {
 	contentType := an.Header.Get("Content-Type")
 	da.addBill(&rpc.Bill{
