--- a/entry/answer.go
+++ b/entry/answer.go
@@ -20,14 +20,14 @@
 	return event.Fields{"bill": bi.GetId(), "organisation": bi.GetOrganisation(), "cost": bi.GetCost()}
 }
 
-// usage is the OpenAI API's usage object.
+// usage is the usage object of the OpenAI API.
 type usage struct {
 	PromptTokens     policy.Tokens `json:"prompt_tokens"`
 	CompletionTokens policy.Tokens `json:"completion_tokens"`
 	TotalTokens      policy.Tokens `json:"total_tokens"`
 }
 
-// chunk is the OpenAI API's chat.completion.chunk.
+// chunk is the chat.completion.chunk object of the OpenAI API.
 type chunk struct {
 	ID      string        `json:"id"`
 	Created int64         `json:"created"`
@@ -66,7 +66,7 @@
 	Content []json.RawMessage `json:"content"`
 }
 
-// choice is one choice of a whole answer.
+// choice is one choice of a chat.completion.
 type choice struct {
 	Index        int       `json:"index"`
 	Message      message   `json:"message"`
@@ -74,7 +74,7 @@
 	Logprobs     *logprobs `json:"logprobs"`
 }
 
-// completion is the OpenAI API's chat.completion.
+// completion is the chat.completion object of the OpenAI API.
 type completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -84,39 +84,43 @@
 	Usage   *usage   `json:"usage,omitempty"`
 }
 
-// answer is what has come of an answer so far.
-type answer struct {
-	chunks  int
-	usage   *usage
-	head    chunk
-	choices []choice
+// answerBuilder accumulates the chunks of an answer as they arrive.
+type answerBuilder struct {
+	// contentChunks counts the chunks with content. It stands in for the output
+	// tokens when the endpoint reports no usage.
+	contentChunks int
+	usage         *usage
+	firstChunk    chunk
+	choices       []choice
 }
 
-// add takes in one chunk. Its text is only gathered when gather is set.
-func (an *answer) add(data []byte, gather bool) {
+// addChunk adds one chunk. It always records usage and counts content, and adds
+// to the choices only when keepText is set.
+func (an *answerBuilder) addChunk(data []byte, keepText bool) {
 	if us := gjson.GetBytes(data, "usage"); us.IsObject() {
 		an.usage = &usage{}
 		_ = json.Unmarshal([]byte(us.Raw), an.usage)
 	}
 	if gjson.GetBytes(data, "choices.0.delta.content").Str != "" {
-		an.chunks++
+		an.contentChunks++
 	}
-	if !gather {
+	if !keepText {
 		return
 	}
 	var ch chunk
 	if json.Unmarshal(data, &ch) != nil {
 		return
 	}
-	if an.head.ID == "" {
-		an.head = ch
+	if an.firstChunk.ID == "" {
+		an.firstChunk = ch
 	}
 	for _, cc := range ch.Choices {
-		an.choice(cc.Index).merge(cc)
+		an.choiceAt(cc.Index).merge(cc)
 	}
 }
 
-func (an *answer) choice(index int) *choice {
+// choiceAt returns the choice with an index, and adds it when it is new.
+func (an *answerBuilder) choiceAt(index int) *choice {
 	for i := range an.choices {
 		if an.choices[i].Index == index {
 			return &an.choices[i]
@@ -126,6 +130,7 @@
 	return &an.choices[len(an.choices)-1]
 }
 
+// merge appends a chunk's delta to the choice.
 func (ch *choice) merge(cc chunkChoice) {
 	ch.Message.Content = concat(ch.Message.Content, cc.Delta.Content)
 	ch.Message.Refusal = concat(ch.Message.Refusal, cc.Delta.Refusal)
@@ -143,6 +148,8 @@
 	}
 }
 
+// mergeTool appends a delta to the tool call with its index, or to a new one when
+// it has none. It ignores an index outside the bounds of maxToolCalls.
 func (ch *choice) mergeTool(tc toolCall) {
 	index := len(ch.Message.ToolCalls)
 	if tc.Index != nil {
@@ -160,9 +167,11 @@
 	have.Function.Arguments += tc.Function.Arguments
 }
 
-// maxToolCalls bounds the tool calls of one answer.
+// maxToolCalls is the maximum number of tool calls in one choice, since the
+// endpoint chooses the index.
 const maxToolCalls = 256
 
+// concat returns the concatenation of two optional strings, nil when both are.
 func concat(have, more *string) *string {
 	if more == nil {
 		return have
@@ -174,129 +183,135 @@
 	return &both
 }
 
-// completion gives the whole answer.
-func (an *answer) completion() completion {
+// completion returns the accumulated answer as one chat.completion.
+func (an *answerBuilder) completion() completion {
 	return completion{
-		ID: an.head.ID, Object: "chat.completion", Created: an.head.Created, Model: an.head.Model,
+		ID: an.firstChunk.ID, Object: "chat.completion", Created: an.firstChunk.Created, Model: an.firstChunk.Model,
 		Choices: an.choices, Usage: an.usage,
 	}
 }
 
-// text gives the first choice's content.
-func (an *answer) text() string {
+// text returns the content of the first choice, "" when it has none.
+func (an *answerBuilder) text() string {
 	if len(an.choices) == 0 || an.choices[0].Message.Content == nil {
 		return ""
 	}
 	return *an.choices[0].Message.Content
 }
 
-// caller is the receiving end of an answer.
-type caller interface {
-	// chunk passes on a chunk; an error means that the caller has gone.
-	chunk(data []byte) error
-	// end completes the answer.
-	end(an answer)
-	// cut ends an answer that cannot be completed.
-	cut(pr problem)
+// answerWriter writes an answer to the caller.
+type answerWriter interface {
+	// writeChunk processes one chunk. An error means that the caller cannot be
+	// reached any more.
+	writeChunk(data []byte) error
+	// complete writes what remains of a complete answer.
+	complete(an answerBuilder)
+	// abort writes an error in place of the rest of an incomplete answer.
+	abort(pr problem)
 }
 
-// wholeCaller gets the answer in one piece.
-type wholeCaller struct {
+// bufferedWriter writes the whole answer as one JSON response.
+type bufferedWriter struct {
 	co *gin.Context
 }
 
-func (wc *wholeCaller) chunk([]byte) error { return wc.co.Request.Context().Err() }
+func (bw *bufferedWriter) writeChunk([]byte) error { return bw.co.Request.Context().Err() }
 
-func (wc *wholeCaller) end(an answer) {
-	limitWrite(wc.co)
-	wc.co.JSON(http.StatusOK, an.completion())
+func (bw *bufferedWriter) complete(an answerBuilder) {
+	setWriteDeadline(bw.co)
+	bw.co.JSON(http.StatusOK, an.completion())
 }
 
-// limitWrite bounds the time that the caller may take to read what is written
+// setWriteDeadline gives the caller callerWriteTimeout to read what is written
 // next.
-func limitWrite(co *gin.Context) {
-	_ = http.NewResponseController(co.Writer).SetWriteDeadline(time.Now().Add(callerWriteLimit))
+func setWriteDeadline(co *gin.Context) {
+	_ = http.NewResponseController(co.Writer).SetWriteDeadline(time.Now().Add(callerWriteTimeout))
 }
 
-func (wc *wholeCaller) cut(pr problem) { refuse(wc.co, pr) }
+func (bw *bufferedWriter) abort(pr problem) { abortWithProblem(bw.co, pr) }
 
-// streamCaller gets the answer as server-sent events.
-type streamCaller struct {
+// streamWriter writes the answer as server-sent events.
+type streamWriter struct {
 	co           *gin.Context
 	rc           *http.ResponseController
 	includeUsage bool
-	// last is the chunk with the finish reason. It waits for the usage, and
-	// for the bill, before it goes to the caller.
-	last  []byte
-	usage []byte
+	// finalChunk is the chunk with the finish reason. It is held back until the
+	// usage has arrived and the bill has been recorded.
+	finalChunk []byte
+	// usageChunk is the chunk that has only the usage. It is sent when the caller
+	// asked for it.
+	usageChunk []byte
 }
 
-func newStreamCaller(co *gin.Context, includeUsage bool) *streamCaller {
+// newStreamWriter writes the response header and returns a writer for the events.
+func newStreamWriter(co *gin.Context, includeUsage bool) *streamWriter {
 	he := co.Writer.Header()
 	he.Set("Content-Type", "text/event-stream")
 	he.Set("Cache-Control", "no-cache")
 	co.Writer.WriteHeader(http.StatusOK)
-	return &streamCaller{co: co, rc: http.NewResponseController(co.Writer), includeUsage: includeUsage}
+	return &streamWriter{co: co, rc: http.NewResponseController(co.Writer), includeUsage: includeUsage}
 }
 
-func (sc *streamCaller) chunk(data []byte) error {
+func (sw *streamWriter) writeChunk(data []byte) error {
 	switch {
 	case gjson.GetBytes(data, "choices.0.finish_reason").Str != "":
-		sc.last = append([]byte(nil), data...)
+		sw.finalChunk = append([]byte(nil), data...)
 		return nil
 	case gjson.GetBytes(data, "usage").IsObject() && len(gjson.GetBytes(data, "choices").Array()) == 0:
-		sc.usage = append([]byte(nil), data...)
+		sw.usageChunk = append([]byte(nil), data...)
 		return nil
 	}
-	return sc.send(data)
+	return sw.writeEvent(data)
 }
 
-// send writes one event. A caller that reads too slowly is given up.
-func (sc *streamCaller) send(data []byte) error {
-	_ = sc.rc.SetWriteDeadline(time.Now().Add(callerWriteLimit))
+// writeEvent writes and flushes one event. It returns an error when the caller
+// does not read it within callerWriteTimeout.
+func (sw *streamWriter) writeEvent(data []byte) error {
+	_ = sw.rc.SetWriteDeadline(time.Now().Add(callerWriteTimeout))
 	buf := make([]byte, 0, len(data)+8)
 	buf = append(buf, "data: "...)
 	buf = append(buf, data...)
 	buf = append(buf, "\n\n"...)
-	if _, err := sc.co.Writer.Write(buf); err != nil {
+	if _, err := sw.co.Writer.Write(buf); err != nil {
 		return err
 	}
-	return sc.rc.Flush()
+	return sw.rc.Flush()
 }
 
-func (sc *streamCaller) end(an answer) {
-	if sc.last != nil {
+func (sw *streamWriter) complete(an answerBuilder) {
+	if sw.finalChunk != nil {
 		if us, err := json.Marshal(an.usage); err == nil && an.usage != nil {
-			if text, err := sjson.SetRawBytes(sc.last, "usage", us); err == nil {
-				sc.last = text
+			if text, err := sjson.SetRawBytes(sw.finalChunk, "usage", us); err == nil {
+				sw.finalChunk = text
 			}
 		}
-		_ = sc.send(sc.last)
+		_ = sw.writeEvent(sw.finalChunk)
 	}
-	if sc.includeUsage && sc.usage != nil {
-		_ = sc.send(sc.usage)
+	if sw.includeUsage && sw.usageChunk != nil {
+		_ = sw.writeEvent(sw.usageChunk)
 	}
-	_ = sc.send([]byte("[DONE]"))
+	_ = sw.writeEvent([]byte("[DONE]"))
 }
 
-// cut tells the caller that the answer is not whole; the stream then ends
-// without the event that completes one.
-func (sc *streamCaller) cut(pr problem) {
+// abort sends the problem as the last event. The stream then ends without the
+// [DONE] event, so that the caller can tell that the answer is incomplete.
+func (sw *streamWriter) abort(pr problem) {
 	text, err := json.Marshal(pr.body())
 	if err != nil {
 		return
 	}
-	_ = sc.send(text)
+	_ = sw.writeEvent(text)
 }
 
-// rated tells whether the answer's text goes to the rating service.
-func (an *answering) rated() bool {
-	return an.daemon.ratings != nil && an.chat.willRate(an)
+// shouldRate reports whether the answer's text is sent to the rating service.
+func (an *answerRelay) shouldRate() bool {
+	return an.daemon.ratings != nil && an.chat.inRatingSample(an)
 }
 
-// rate hands the answer to the rating service.
-func (an *answering) rate() {
-	if !an.rated() {
+// submitForRating queues the answer for the rating service if it is in the
+// sample.
+func (an *answerRelay) submitForRating() {
+	if !an.shouldRate() {
 		return
 	}
 	an.daemon.ratings.submit(ratingAnswer(an))
--- a/entry/connection.go
+++ b/entry/connection.go
@@ -6,8 +6,7 @@
 	"sync"
 )
 
-// connections follows the states of the connections that are open to this
-// entry.
+// connections tracks the states of the connections that are open to this entry.
 //
 // mu guards the states. No other lock is taken while it is held.
 type connections struct {
@@ -19,8 +18,8 @@
 	return &connections{states: map[net.Conn]http.ConnState{}}
 }
 
-// note is an http.Server's ConnState hook.
-func (cs *connections) note(co net.Conn, st http.ConnState) {
+// track records a connection's state. It is the ConnState hook of an http.Server.
+func (cs *connections) track(co net.Conn, st http.ConnState) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	if st == http.StateClosed || st == http.StateHijacked {
@@ -30,7 +29,7 @@
 	cs.states[co] = st
 }
 
-// counts gives the number of connections in each state.
+// counts returns the number of connections in each state.
 func (cs *connections) counts() map[string]float64 {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
--- a/entry/pool.go
+++ b/entry/pool.go
@@ -15,7 +15,8 @@
 	"tanagerpoint.example/tanager/store"
 )
 
-// poolID names the endpoints behind one queue: a model's or a service's.
+// poolID identifies a pool: the endpoints of one model or service, which share a
+// queue.
 type poolID string
 
 func modelPool(id policy.ModelID) poolID     { return poolID("model/" + string(id)) }
@@ -23,57 +24,63 @@
 
 const (
 	usagePrefix = "usage/"
-	// firstSecondsPerToken and firstTokensPerAnswer are assumed until answers
-	// have ended.
-	firstSecondsPerToken = 0.01
-	firstTokensPerAnswer = 128
-	paceSmoothing        = 0.05
-	// leastUsed is the smoothed use, in slots, that is worth telling.
-	leastUsed = 0.01
+	// initialSecondsPerToken and initialTokensPerAnswer are the estimates for a
+	// rank until its first answer ends.
+	initialSecondsPerToken = 0.01
+	initialTokensPerAnswer = 128
+	// estimateSmoothing is the weight of a new answer in the moving averages.
+	estimateSmoothing = 0.05
+	// minReportedUsage is the smoothed usage, in slots, below which an idle level
+	// is left out of the report.
+	minReportedUsage = 0.01
 )
 
-// pool is one queue and what it knows of its answers' pace.
+// pool is the queue of one pool and the estimates of its answers' length and
+// speed.
 type pool struct {
 	gate *admission.Gate
-	// mu guards paces.
-	mu    sync.Mutex
-	paces map[policy.RankID]pace
+	// mu guards estimates.
+	mu        sync.Mutex
+	estimates map[policy.RankID]answerEstimate
 }
 
-// pace is what a rank's answers took.
-type pace struct {
+// answerEstimate holds moving averages over the answers of one rank.
+type answerEstimate struct {
 	secondsPerToken float64
 	tokensPerAnswer float64
 }
 
-// pools holds the queues, and the endpoints by version and service.
+// pools holds the queues, and the endpoints by pool and by version.
 //
-// mu guards the maps. A queue's own lock is taken after it, never before.
+// mu guards the fields below it. A queue's lock may be taken while mu is held, but
+// mu must not be taken while a queue's lock is held.
 type pools struct {
 	daemon *Daemon
 
 	mu sync.Mutex
-	// revision is the policy that the endpoints are of, refreshed the one that
-	// the queues are of.
-	revision  store.Revision
-	refreshed store.Revision
-	// heard are the others' items as last processed.
-	heard     map[string]peer.Version
-	byID      map[poolID]*pool
-	members   map[poolID]*placement.Pool
-	byVersion map[policy.VersionID]*placement.Pool
+	// endpointsRevision is the policy revision from which the endpoints were built,
+	// queuesRevision the one from which the queues were last refreshed.
+	endpointsRevision store.Revision
+	queuesRevision    store.Revision
+	// remoteVersions are the versions of the other entries' usage items last
+	// processed, by key.
+	remoteVersions     map[string]peer.Version
+	queues             map[poolID]*pool
+	endpointsByPool    map[poolID]*placement.Pool
+	endpointsByVersion map[policy.VersionID]*placement.Pool
 }
 
 func newPools(da *Daemon) *pools {
-	return &pools{daemon: da, byID: map[poolID]*pool{}}
+	return &pools{daemon: da, queues: map[poolID]*pool{}}
 }
 
-// get gives a queue, brought up to the policy in force.
+// get returns a pool, creating it if needed, and refreshes the queues first when
+// the pool is new or they are older than the policy in force.
 func (po *pools) get(id poolID) *pool {
 	po.mu.Lock()
-	_, known := po.byID[id]
+	_, known := po.queues[id]
 	pl := po.getLocked(id)
-	current := po.refreshed == po.daemon.holder.Set().Revision
+	current := po.queuesRevision == po.daemon.holder.Set().Revision
 	po.mu.Unlock()
 	if !known || !current {
 		po.refresh()
@@ -81,44 +88,47 @@
 	return pl
 }
 
+// getLocked returns a pool, and creates it if needed. mu must be held.
 func (po *pools) getLocked(id poolID) *pool {
-	pl, ok := po.byID[id]
+	pl, ok := po.queues[id]
 	if !ok {
 		pl = &pool{
-			gate:  admission.NewGate(int(po.daemon.set.GetServing().GetMaxQueue())),
-			paces: map[policy.RankID]pace{},
+			gate:      admission.NewGate(int(po.daemon.settings.GetServing().GetMaxQueue())),
+			estimates: map[policy.RankID]answerEstimate{},
 		}
-		po.byID[id] = pl
+		po.queues[id] = pl
 	}
 	return pl
 }
 
-// version gives the endpoints that should serve a version.
-func (po *pools) version(id policy.VersionID) *placement.Pool {
+// versionEndpoints returns the endpoints that serve a version according to the
+// policy in force.
+func (po *pools) versionEndpoints(id policy.VersionID) *placement.Pool {
 	po.mu.Lock()
 	defer po.mu.Unlock()
-	po.rebuild()
-	if pl, ok := po.byVersion[id]; ok {
+	po.rebuildLocked()
+	if pl, ok := po.endpointsByVersion[id]; ok {
 		return pl
 	}
 	return placement.NewPool(nil)
 }
 
-// service gives the endpoints of a plain service.
-func (po *pools) service(id policy.ServiceID) *placement.Pool {
+// serviceEndpoints returns the endpoints of a plain service.
+func (po *pools) serviceEndpoints(id policy.ServiceID) *placement.Pool {
 	po.mu.Lock()
 	defer po.mu.Unlock()
-	po.rebuild()
-	if pl, ok := po.members[servicePool(id)]; ok {
+	po.rebuildLocked()
+	if pl, ok := po.endpointsByPool[servicePool(id)]; ok {
 		return pl
 	}
 	return placement.NewPool(nil)
 }
 
-// rebuild brings the endpoints up to the policy in force.
-func (po *pools) rebuild() {
+// rebuildLocked rebuilds the endpoint maps if the policy has changed, and removes
+// endpoints that are not in the policy from the tracker. mu must be held.
+func (po *pools) rebuildLocked() {
 	se := po.daemon.holder.Set()
-	if se.Revision == po.revision && po.byVersion != nil {
+	if se.Revision == po.endpointsRevision && po.endpointsByVersion != nil {
 		return
 	}
 	versions, members := map[policy.VersionID][]policy.Endpoint{}, map[poolID][]policy.Endpoint{}
@@ -140,38 +150,39 @@
 			members[id] = append(members[id], en)
 		}
 	}
-	po.byVersion, po.members = map[policy.VersionID]*placement.Pool{}, map[poolID]*placement.Pool{}
+	po.endpointsByVersion, po.endpointsByPool = map[policy.VersionID]*placement.Pool{}, map[poolID]*placement.Pool{}
 	for id, ens := range versions {
-		po.byVersion[id] = placement.NewPool(ens)
+		po.endpointsByVersion[id] = placement.NewPool(ens)
 	}
 	for id, ens := range members {
-		po.members[id] = placement.NewPool(ens)
+		po.endpointsByPool[id] = placement.NewPool(ens)
 	}
-	po.revision = se.Revision
+	po.endpointsRevision = se.Revision
 	po.daemon.tracker.Keep(func(id policy.EndpointID) bool {
 		_, ok := se.Endpoints.ByID(id)
 		return ok
 	})
 }
 
-// refresh sets each queue's ranks, capacity and the other entries' usage.
+// refresh sets the ranks and the capacity of each queue, and the usage that the
+// other entries reported.
 func (po *pools) refresh() {
 	po.mu.Lock()
-	po.rebuild()
-	revision := po.revision
-	members, ranks := po.members, ranksOf(po.daemon.holder.Set())
+	po.rebuildLocked()
+	revision := po.endpointsRevision
+	members, ranks := po.endpointsByPool, ranksOf(po.daemon.holder.Set())
 	queues := make(map[poolID]*pool, len(members))
 	for id := range members {
 		queues[id] = po.getLocked(id)
 	}
-	maps.Copy(queues, po.byID)
+	maps.Copy(queues, po.queues)
 	po.mu.Unlock()
-	re := po.remote()
+	re := po.readRemoteUsage()
 	if re.changed {
 		po.daemon.tracker.SetOthers(time.Now(), re.inFlight)
 	}
 	for id, pl := range queues {
-		slots := po.slots(members[id])
+		slots := po.usableSlots(members[id])
 		capacity := slots * admission.ShareOf(re.entries, pl.demand(), re.demand[id])
 		pl.gate.Change(func(qu *admission.Queue, now time.Time) {
 			qu.SetRanks(ranks)
@@ -183,11 +194,12 @@
 		pl.gate.Tick()
 	}
 	po.mu.Lock()
-	po.refreshed = max(po.refreshed, revision)
+	po.queuesRevision = max(po.queuesRevision, revision)
 	po.mu.Unlock()
 }
 
-// tick starts and refuses what is due in every queue.
+// tick starts the requests that may now run in each queue, and refuses those that
+// can no longer meet their deadline.
 func (po *pools) tick() {
 	po.each(func(_ poolID, pl *pool) { pl.gate.Tick() })
 }
@@ -200,8 +212,8 @@
 	return out
 }
 
-// slots adds up what the usable endpoints of a pool serve at once.
-func (po *pools) slots(pl *placement.Pool) float64 {
+// usableSlots returns the sum of the slots of a pool's usable, healthy endpoints.
+func (po *pools) usableSlots(pl *placement.Pool) float64 {
 	if pl == nil {
 		return 0
 	}
@@ -214,26 +226,30 @@
 	return float64(sum)
 }
 
-// usable tells whether an endpoint may get new work: neither an operator nor
-// the VM list says that it is leaving.
+// usable reports whether an endpoint may get new work: it is still in the policy,
+// no operator is draining it, and the VM list does not mark it as leaving.
 func (da *Daemon) usable(en policy.Endpoint) bool {
 	now, ok := da.holder.Set().Endpoints.ByID(en.ID)
 	return ok && !now.Draining && !da.vms.EndpointLeaving(string(en.ID))
 }
 
-// remoteWork is what the other entries reported of their work.
-type remoteWork struct {
+// remoteUsage is the sum of what the other entries reported. entries counts the
+// entries that serve requests, this one included.
+type remoteUsage struct {
 	entries int
 	demand  map[poolID]float64
 	reports map[poolID]admission.Report
-	// inFlight is what the others have in flight at each endpoint.
+	// inFlight is the number of requests that the other entries have in flight at
+	// each endpoint.
 	inFlight map[policy.EndpointID]int
-	// changed tells that a report came since the last time.
+	// changed is set when the reports differ from those read last.
 	changed bool
 }
 
-func (po *pools) remote() remoteWork {
-	re := remoteWork{entries: 1, demand: map[poolID]float64{}, reports: map[poolID]admission.Report{}, inFlight: map[policy.EndpointID]int{}}
+// readRemoteUsage adds up the usage items of the other entries. A draining entry
+// counts until its last request has ended.
+func (po *pools) readRemoteUsage() remoteUsage {
+	re := remoteUsage{entries: 1, demand: map[poolID]float64{}, reports: map[poolID]admission.Report{}, inFlight: map[policy.EndpointID]int{}}
 	seen := map[string]peer.Version{}
 	for _, mb := range po.daemon.peers.Entries() {
 		if !mb.Draining || mb.InFlight > 0 {
@@ -241,17 +257,18 @@
 		}
 		if it, ok := po.daemon.peers.Board().Get(usagePrefix + string(mb.VM)); ok {
 			seen[it.Key] = it.Version
-			re.add(it)
+			re.addItem(it)
 		}
 	}
 	po.mu.Lock()
 	defer po.mu.Unlock()
-	re.changed = !maps.Equal(seen, po.heard)
-	po.heard = seen
+	re.changed = !maps.Equal(seen, po.remoteVersions)
+	po.remoteVersions = seen
 	return re
 }
 
-func (re *remoteWork) add(it peer.Item) {
+// addItem adds one entry's usage item. It ignores an item that does not decode.
+func (re *remoteUsage) addItem(it peer.Item) {
 	var us rpc.Usage
 	if proto.Unmarshal(it.Value, &us) != nil {
 		return
@@ -278,6 +295,7 @@
 	}
 }
 
+// demand returns the number of requests that run or wait in the queue.
 func (pl *pool) demand() float64 {
 	demand := 0.0
 	pl.gate.Change(func(qu *admission.Queue, _ time.Time) {
@@ -287,10 +305,11 @@
 	return demand
 }
 
-// publish tells the other entries what this one served and wants.
+// publish sends this entry's served usage, demand and requests in flight to the
+// other entries.
 func (po *pools) publish() {
 	po.mu.Lock()
-	queues := maps.Clone(po.byID)
+	queues := maps.Clone(po.queues)
 	po.mu.Unlock()
 	us := &rpc.Usage{}
 	for id, pl := range queues {
@@ -302,7 +321,7 @@
 	po.daemon.peers.Publish(usagePrefix+string(po.daemon.peers.VM()), us)
 }
 
-// usage gives the report on a queue for the other entries.
+// usage returns the report on the queue for the other entries.
 func (pl *pool) usage(id poolID) *rpc.PoolUsage {
 	pu := &rpc.PoolUsage{Pool: string(id), Demand: pl.demand()}
 	pl.gate.Change(func(qu *admission.Queue, now time.Time) {
@@ -313,7 +332,7 @@
 			})
 		}
 		for _, lu := range re.Levels {
-			if lu.Running == 0 && lu.Used < leastUsed {
+			if lu.Running == 0 && lu.Used < minReportedUsage {
 				continue
 			}
 			pu.Levels = append(pu.Levels, &rpc.LevelUsage{
@@ -324,42 +343,45 @@
 	return pu
 }
 
-// expect gives the tokens and the time that a rank's answer is expected to take.
-func (pl *pool) expect(id policy.RankID, maxTokens int64) (tokens float64, lasts time.Duration) {
+// estimate returns the expected number of tokens of a rank's answer, at most
+// maxTokens when that is set, and the expected time to generate them.
+func (pl *pool) estimate(id policy.RankID, maxTokens int64) (tokens float64, duration time.Duration) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
-	pa := pl.pace(id)
-	tokens = pa.tokensPerAnswer
+	ae := pl.estimateLocked(id)
+	tokens = ae.tokensPerAnswer
 	if maxTokens > 0 {
 		tokens = min(tokens, float64(maxTokens))
 	}
-	return tokens, time.Duration(tokens * pa.secondsPerToken * float64(time.Second))
+	return tokens, time.Duration(tokens * ae.secondsPerToken * float64(time.Second))
 }
 
-func (pl *pool) pace(id policy.RankID) pace {
-	if pa, ok := pl.paces[id]; ok {
-		return pa
+// estimateLocked returns the rank's estimate, or the initial one. mu must be held.
+func (pl *pool) estimateLocked(id policy.RankID) answerEstimate {
+	if ae, ok := pl.estimates[id]; ok {
+		return ae
 	}
-	return pace{secondsPerToken: firstSecondsPerToken, tokensPerAnswer: firstTokensPerAnswer}
+	return answerEstimate{secondsPerToken: initialSecondsPerToken, tokensPerAnswer: initialTokensPerAnswer}
 }
 
-// observe learns from an answer that ended.
+// observe updates the rank's estimate with an answer that ended. An answer without
+// tokens is ignored.
 func (pl *pool) observe(id policy.RankID, tokens int64, took time.Duration) {
 	if tokens <= 0 {
 		return
 	}
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
-	pa := pl.pace(id)
-	pa.tokensPerAnswer += paceSmoothing * (float64(tokens) - pa.tokensPerAnswer)
-	pa.secondsPerToken += paceSmoothing * (took.Seconds()/float64(tokens) - pa.secondsPerToken)
-	pl.paces[id] = pa
+	ae := pl.estimateLocked(id)
+	ae.tokensPerAnswer += estimateSmoothing * (float64(tokens) - ae.tokensPerAnswer)
+	ae.secondsPerToken += estimateSmoothing * (took.Seconds()/float64(tokens) - ae.secondsPerToken)
+	pl.estimates[id] = ae
 }
 
-// each visits every queue.
+// each calls fn for every pool, without holding mu.
 func (po *pools) each(fn func(id poolID, pl *pool)) {
 	po.mu.Lock()
-	queues := maps.Clone(po.byID)
+	queues := maps.Clone(po.queues)
 	po.mu.Unlock()
 	for id, pl := range queues {
 		fn(id, pl)
