--- a/cmd/tanager-standin/platform.go
+++ b/cmd/tanager-standin/platform.go
@@ -68,7 +68,7 @@
 		if err != nil {
 			return eris.Wrap(err, "newVMFile")
 		}
-		var grs []vm.Group
+		var grs []vm.TargetGroup
 		if err := json.Unmarshal(text, &grs); err != nil {
 			return eris.Wrapf(err, "newVMFile: %s", file)
 		}
--- a/cmd/tanagerctl/daemon.go
+++ b/cmd/tanagerctl/daemon.go
@@ -28,7 +28,7 @@
 		return command.Exit(command.ExitUsage, err)
 	}
 	rq.Header.Set("Authorization", "Bearer "+opt.key)
-	rs, err := network.Real().FreshClient().Do(rq)
+	rs, err := network.Real().UnpooledClient().Do(rq)
 	if err != nil {
 		return command.Exit(command.ExitUnreachable, err)
 	}
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -42,10 +42,10 @@
 	InFlight      int64
 }
 
-// Answer decides the addresses, at most sixteen, for a caller in a failure domain, "" when
+// Select decides the addresses, at most sixteen, for a caller in a failure domain, "" when
 // unknown. Entries that drain, or whose VM is leaving, are left out. The order
 // is random by weight, so that callers that take the first are spread too.
-func Answer(sts []Candidate, leaving func(vm.ID) bool, domain policy.FailureDomain, rng *rand.Rand) []Address {
+func Select(sts []Candidate, leaving func(vm.ID) bool, domain policy.FailureDomain, rng *rand.Rand) []Address {
 	total := int64(0)
 	for _, st := range sts {
 		total += st.InFlight
--- a/endpoint/endpoint.go
+++ b/endpoint/endpoint.go
@@ -123,7 +123,7 @@
 
 // NewClient gives a client; progress is the longest silence of a connection.
 func NewClient(ne network.Network, progress time.Duration) *Client {
-	return &Client{pooled: ne.Client(64), fresh: ne.FreshClient(), progress: progress}
+	return &Client{pooled: ne.Client(64), fresh: ne.UnpooledClient(), progress: progress}
 }
 
 // Close ends the pooled connections.
--- a/entry/entries.go
+++ b/entry/entries.go
@@ -33,7 +33,7 @@
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	keep := da.set.GetServing().GetAddressKeep().AsDuration()
 	co.JSON(http.StatusOK, directory.Addresses{
-		Entries:   directory.Answer(sts, func(id vm.ID) bool { return leaving[id] }, domain, rng),
+		Entries:   directory.Select(sts, func(id vm.ID) bool { return leaving[id] }, domain, rng),
 		KeepUntil: time.Now().Add(keep).UTC(), KeepMS: keep.Milliseconds(),
 	})
 }
--- a/measure/address.go
+++ b/measure/address.go
@@ -57,7 +57,7 @@
 	}
 	domain := policy.FailureDomain(strconv.Itoa(re.rng.IntN(3)))
 	var out []int
-	for _, ad := range directory.Answer(cas, func(vm.ID) bool { return false }, domain, re.rng) {
+	for _, ad := range directory.Select(cas, func(vm.ID) bool { return false }, domain, re.rng) {
 		n, err := strconv.Atoi(ad.Address)
 		if err == nil {
 			out = append(out, n)
--- a/network/network.go
+++ b/network/network.go
@@ -76,10 +76,10 @@
 	}}
 }
 
-// FreshClient gives an HTTP client that opens a new connection for each
+// UnpooledClient gives an HTTP client that opens a new connection for each
 // request. net/http then never sends a request a second time by itself, which
 // it may do on a pooled connection.
-func (ne Network) FreshClient() *http.Client {
+func (ne Network) UnpooledClient() *http.Client {
 	return &http.Client{CheckRedirect: keepRedirect, Transport: &http.Transport{
 		DialContext:        ne.Dial,
 		DisableKeepAlives:  true,
--- a/router/router.go
+++ b/router/router.go
@@ -127,9 +127,9 @@
 	}{
 		{ls.GetPeers(), peer.NewServer(da.peers, nil, nil).Handler()},
 		{ls.GetAdmin(), admin.NewRouter(da.holder, da.metrics, da.Dump, nil)},
-		{ls.GetReadiness(), platform.NewReadiness(da.relay.Ready)},
-		{ls.GetDirectory(), platform.NewDirectory(da.addresses, da.set.GetServing().GetAddressKeep().AsDuration)},
-		{ls.GetCallers(), platform.NewFront(da.relay, da.holder)},
+		{ls.GetReadiness(), platform.NewReadinessHandler(da.relay.Ready)},
+		{ls.GetDirectory(), platform.NewDirectoryHandler(da.addresses, da.set.GetServing().GetAddressKeep().AsDuration)},
+		{ls.GetCallers(), platform.NewCallerHandler(da.relay, da.holder)},
 	} {
 		if err := da.serve(sv.address, sv.handler); err != nil {
 			return eris.Wrap(err, "Daemon.Start")
@@ -186,7 +186,7 @@
 		cas = append(cas, directory.Candidate{VM: mb.VM, Address: mb.CallersAddress, FailureDomain: mb.FailureDomain, Draining: mb.Draining, InFlight: mb.InFlight})
 	}
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	return directory.Answer(cas, func(vm.ID) bool { return false }, domain, rng)
+	return directory.Select(cas, func(vm.ID) bool { return false }, domain, rng)
 }
 
 // Drain is a graceful shutdown's first part: the daemon leaves the address
--- a/soak/router_test.go
+++ b/soak/router_test.go
@@ -292,7 +292,7 @@
 	return res.StatusCode, string(body), err
 }
 
-var fresh = network.Real().FreshClient()
+var fresh = network.Real().UnpooledClient()
 
 // caller sends requests of all kinds until ctx ends.
 func (rs *routerSite) caller(ctx context.Context, me int) {
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -292,7 +292,7 @@
 
 // caller asks one entry after the other, in a session and without.
 func (si *site) caller(n int, stop chan struct{}) {
-	client := network.Real().FreshClient()
+	client := network.Real().UnpooledClient()
 	client.Timeout = 30 * time.Second
 	for i := 0; ; i++ {
 		select {
--- a/standin/vmlist.go
+++ b/standin/vmlist.go
@@ -52,7 +52,7 @@
 	return li.Wrap(mu)
 }
 
-func (li *VMList) groups() []vm.Group {
+func (li *VMList) groups() []vm.TargetGroup {
 	li.mu.Lock()
 	defer li.mu.Unlock()
 	for len(li.pending) > 0 && !time.Now().Before(li.pending[0].showAt) {
@@ -64,10 +64,10 @@
 		}
 		li.vms[ch.vm.ID] = ch.vm
 	}
-	out := []vm.Group{}
+	out := []vm.TargetGroup{}
 	for _, v := range li.vms {
 		la := vm.Labels{VM: string(v.ID), Role: string(v.Role), State: string(v.State), Endpoint: v.Endpoint}
-		out = append(out, vm.Group{Targets: []string{v.Address}, Labels: la})
+		out = append(out, vm.TargetGroup{Targets: []string{v.Address}, Labels: la})
 	}
 	return out
 }
--- a/testsite/caller.go
+++ b/testsite/caller.go
@@ -99,7 +99,7 @@
 	for name, va := range ca.Header {
 		rq.Header.Set(name, va)
 	}
-	rs, err := si.Net.Of(Caller).FreshClient().Do(rq)
+	rs, err := si.Net.Of(Caller).UnpooledClient().Do(rq)
 	if err != nil {
 		return Answer{Err: err}
 	}
--- a/testsite/routers.go
+++ b/testsite/routers.go
@@ -228,7 +228,7 @@
 }
 
 // Client gives an HTTP client of a caller.
-func (rs *RouterSite) Client() *http.Client { return rs.Net.Of("caller").FreshClient() }
+func (rs *RouterSite) Client() *http.Client { return rs.Net.Of("caller").UnpooledClient() }
 
 // Ready asks a router whether it is ready.
 func (rs *RouterSite) Ready(n int) bool {
--- a/vm/vm.go
+++ b/vm/vm.go
@@ -55,8 +55,8 @@
 	Endpoint string
 }
 
-// Group is one element of the list's wire format.
-type Group struct {
+// TargetGroup is one element of the list's wire format.
+type TargetGroup struct {
 	Targets []string `json:"targets"`
 	Labels  Labels   `json:"labels"`
 }
@@ -147,7 +147,7 @@
 	if rs.StatusCode != http.StatusOK {
 		return eris.Errorf("List.poll: %s", rs.Status)
 	}
-	var grs []Group
+	var grs []TargetGroup
 	if err := json.NewDecoder(io.LimitReader(rs.Body, maxListBytes)).Decode(&grs); err != nil {
 		return eris.Wrap(err, "List.poll")
 	}
@@ -155,7 +155,7 @@
 	return nil
 }
 
-func newListState(grs []Group) *listState {
+func newListState(grs []TargetGroup) *listState {
 	ls := &listState{leaving: map[string]bool{}}
 	for _, gr := range grs {
 		for _, ta := range gr.Targets {
