--- a/router/idle.go
+++ b/router/idle.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// idleConnections knows since when callers' connections are idle.
+// idleConnections records since when each of the callers' connections is idle,
+// so that it can be closed after the idle time-out in force.
 //
-// mu guards the map. No other lock is taken while it is held.
+// mu guards since. No other lock is taken while it is held.
 type idleConnections struct {
 	mu    sync.Mutex
 	since map[net.Conn]time.Time
@@ -17,8 +18,8 @@
 
 func newIdleConnections() *idleConnections { return &idleConnections{since: map[net.Conn]time.Time{}} }
 
-// note is an http.Server's ConnState hook.
-func (ic *idleConnections) note(co net.Conn, st http.ConnState) {
+// connStateChanged is the ConnState hook of the http.Servers.
+func (ic *idleConnections) connStateChanged(co net.Conn, st http.ConnState) {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
 	if st == http.StateIdle {
@@ -28,13 +29,13 @@
 	delete(ic.since, co)
 }
 
-// closeSince closes the connections that are idle since before a time.
-func (ic *idleConnections) closeSince(at time.Time) {
+// closeIdleSince closes the connections that have been idle since before at.
+func (ic *idleConnections) closeIdleSince(at time.Time) {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
 	for co, since := range ic.since {
 		if since.Before(at) {
-			// The connection is closed either way.
+			// Close releases the connection even when it returns an error.
 			_ = co.Close()
 			delete(ic.since, co)
 		}
--- a/router/rollout.go
+++ b/router/rollout.go
@@ -13,15 +13,16 @@
 )
 
 const (
-	// taskRollout is the prefix of the tasks of roll-outs.
-	taskRollout = "rollout/"
-	// candidates is how many routers try at once for an action that is due.
-	candidates = 2
+	// rolloutTaskPrefix precedes the service's name in the name of a lease task.
+	rolloutTaskPrefix = "rollout/"
+	// preferredRouters is how many routers attempt a due action at once; the
+	// others attempt it only when it is overdue, see shouldAttempt.
+	preferredRouters = 2
 )
 
-// control takes the actions that are due in roll-outs. A task's lease is held
-// for one action only.
-func (da *Daemon) control(ctx context.Context) {
+// advanceRollouts carries out the actions that are due in roll-outs. It holds
+// the lease of a roll-out's task for one action only.
+func (da *Daemon) advanceRollouts(ctx context.Context) {
 	now := time.Now()
 	for _, ro := range da.holder.Set().Rollouts.List() {
 		if ro.Service == "" || !ro.Active() || da.relay.Draining() {
@@ -33,56 +34,64 @@
 			delete(da.dueSince, ro.ID)
 			continue
 		}
-		if !da.mayTry(now, ro.ID) {
+		if !da.shouldAttempt(now, ro.ID) {
 			continue
 		}
-		if ho, ok := da.acquire(ctx, lease.Task(taskRollout+ro.Service)); ok {
-			da.take(ctx, ho, ro, pr, ac)
+		if ho, ok := da.acquire(ctx, lease.Task(rolloutTaskPrefix+ro.Service)); ok {
+			da.execute(ctx, ho, ro, pr, ac)
 			da.leases.Close(ctx)
 		}
 	}
 }
 
-// mayTry tells whether this router tries for an action: a few do at once, and
-// everyone when they seem unable to.
-func (da *Daemon) mayTry(now time.Time, id policy.RolloutID) bool {
+// shouldAttempt reports whether this router attempts a roll-out's due action.
+// The preferred routers attempt it at once. Every router does so once the action
+// has been due for half a lease, because the preferred ones may be cut off from
+// the store.
+func (da *Daemon) shouldAttempt(now time.Time, id policy.RolloutID) bool {
 	since, ok := da.dueSince[id]
 	if !ok {
 		da.dueSince[id], since = now, now
 	}
-	ttl := da.set.GetRollout().GetLease().AsDuration()
-	return now.Sub(since) > ttl/2 || da.peers.Preferred(taskRollout+string(id), candidates)
+	ttl := da.settings.GetRollout().GetLease().AsDuration()
+	return now.Sub(since) > ttl/2 || da.peers.Preferred(rolloutTaskPrefix+string(id), preferredRouters)
 }
 
+// acquire tries to take a task's lease and returns its hold. The second result
+// is false when another router holds the task, or when the store failed or did
+// not answer within half a lease.
 func (da *Daemon) acquire(ctx context.Context, ta lease.Task) (lease.Hold, bool) {
-	ctx, cancel := context.WithTimeout(ctx, da.set.GetRollout().GetLease().AsDuration()/2)
+	ctx, cancel := context.WithTimeout(ctx, da.settings.GetRollout().GetLease().AsDuration()/2)
 	defer cancel()
 	if _, err := da.leases.Acquire(ctx, ta); err != nil {
 		da.log.Debug(event.StoreUnreachable, err, event.Fields{"task": ta})
-		// Whatever lease there was may have ended with the attempt.
+		// The lease may have expired during the failed attempt; do not reuse it.
 		da.leases.Close(ctx)
 	}
 	return da.leases.Holds(ta)
 }
 
-// take takes an action.
-func (da *Daemon) take(ctx context.Context, ho lease.Hold, ro policy.Rollout, pr rollout.Progress, ac rollout.Action) {
+// execute records the state that an action leads to.
+func (da *Daemon) execute(ctx context.Context, ho lease.Hold, ro policy.Rollout, pr rollout.Progress, ac rollout.Action) {
 	switch ac {
 	case rollout.ActionStart:
-		da.record(ctx, ho, ro, rpc.RolloutState_RUNNING, pr.StartedAt, "taken up")
+		da.recordState(ctx, ho, ro, rpc.RolloutState_RUNNING, pr.StartedAt, "started")
 	case rollout.ActionAbort:
 		why := pr.Bad
 		if why == "" {
-			why = "not proved in time"
+			why = "not proved before the deadline"
 		}
-		da.record(ctx, ho, ro, rpc.RolloutState_ABORTED, pr.StartedAt, why)
+		da.recordState(ctx, ho, ro, rpc.RolloutState_ABORTED, pr.StartedAt, why)
 	case rollout.ActionComplete:
-		da.record(ctx, ho, ro, rpc.RolloutState_DONE, pr.StartedAt, "proved")
+		da.recordState(ctx, ho, ro, rpc.RolloutState_DONE, pr.StartedAt, "proved")
 	}
 }
 
-// record writes a roll-out's state under the task's fencing token.
-func (da *Daemon) record(ctx context.Context, ho lease.Hold, ro policy.Rollout, state rpc.RolloutState, startedAt time.Time, why string) {
+// recordState commits a roll-out's state on condition that the task's fencing
+// token is still in force, so that a write that the store applies late cannot
+// overwrite a later state. Errors are logged, and the action is attempted again
+// while it is due.
+func (da *Daemon) recordState(ctx context.Context, ho lease.Hold, ro policy.Rollout, state rpc.RolloutState, startedAt time.Time, why string) {
 	co, err := da.layout.RolloutCommit(ro, state, startedAt)
 	if err == nil {
 		fe := ho.Fence()
--- a/router/router.go
+++ b/router/router.go
@@ -1,6 +1,7 @@
-// Package router is the daemon that carries the requests of routes on a VM of
-// the users' platform. One process does it all: it serves callers, tells them
-// which routers to use, and does the control work of roll-outs under a lease.
+// Package router implements the daemon that forwards the requests of routes to
+// endpoints on the users' platform, one process on each VM. The process serves
+// callers, tells them which routers to connect to (directory), and carries out
+// the control actions of roll-outs under a lease.
 package router
 
 import (
@@ -35,22 +36,28 @@
 	publishInterval   = 400 * time.Millisecond
 	rolloutInterval   = 300 * time.Millisecond
 	idleInterval      = time.Second
-	// gatherWait lets changes that come together come in one answer of the store:
-	// each is paid for. longestGather bounds it in large groups.
-	gatherWait    = 400 * time.Millisecond
-	longestGather = 1200 * time.Millisecond
-	// endpointProgress bounds the silence of endpoints where a route sets nothing.
-	endpointProgress = 2 * time.Second
-	// listenAfterDrain is how long new requests are still taken once a graceful
-	// shutdown began: callers go on using the address for a while.
+	// batchWait is how long the watch waits after a change, so that changes made
+	// close together arrive in one answer of the store: each call to the store
+	// is paid for. The wait grows with the number of routers; maxBatchWait
+	// bounds it. 2.2 s was too long: a router that learned of a roll-out that
+	// late had not told its peers which sessions use the current release, and
+	// they were moved to the new one.
+	batchWait    = 400 * time.Millisecond
+	maxBatchWait = 1200 * time.Millisecond
+	// endpointProgressTimeout is how long an endpoint may send nothing during an
+	// answer when its route sets no limit.
+	endpointProgressTimeout = 2 * time.Second
+	// listenAfterDrain is how long new requests are still accepted after a
+	// graceful shutdown began: callers go on using an address that they have
+	// resolved before.
 	listenAfterDrain = 2500 * time.Millisecond
 )
 
-// Daemon is one router. Its parts are safe for concurrent use; each states its
-// own lock.
+// Daemon is one router process. Its components are safe for concurrent use;
+// each documents its own lock.
 type Daemon struct {
-	set      *rpc.RouterSettings
-	net      network.Network
+	settings *rpc.RouterSettings
+	network  network.Network
 	log      *event.Log
 	metrics  *metric.Metrics
 	group    *worker.Group
@@ -64,19 +71,20 @@
 	relay    *relay.Router
 	leases   *lease.Manager
 	idle     *idleConnections
-	// dueSince is since when actions in roll-outs are due; only control uses it.
+	// dueSince is when this router first saw that a roll-out has an action due.
+	// Only the goroutine of advanceRollouts uses it.
 	dueSince map[policy.RolloutID]time.Time
 	callers  *http.Server
 	servers  []*http.Server
 }
 
-// New gives a daemon; Start makes it serve.
+// New returns a daemon that does not serve yet; Start starts it.
 func New(rs *rpc.RouterSettings, ne network.Network, lo *event.Log) (*Daemon, error) {
 	me, err := metric.New()
 	if err != nil {
 		return nil, eris.Wrap(err, "router.New")
 	}
-	da := &Daemon{set: rs, net: ne, log: lo, metrics: me, group: worker.NewGroup(), idle: newIdleConnections(), dueSince: map[policy.RolloutID]time.Time{}}
+	da := &Daemon{settings: rs, network: ne, log: lo, metrics: me, group: worker.NewGroup(), idle: newIdleConnections(), dueSince: map[policy.RolloutID]time.Time{}}
 	prefix := store.Key(rs.GetStore().GetPrefix())
 	da.store = platform.NewStore(store.OptionsOf(rs.GetStore(), ne.Dial))
 	da.layout = platform.NewLayout(lo)
@@ -84,9 +92,9 @@
 	da.watcher = configuration.NewWatcher(da.layout, da.store, da.holder, lo)
 	opt := da.peerOptions()
 	da.peers = peer.NewGroup(opt, da.holder, ne, lo)
-	da.watcher.GatherBy(da.gather)
+	da.watcher.GatherBy(da.batchDelay)
 	da.registry = peer.NewRegistry(prefix, da.store, opt.Self, lo)
-	da.client = endpoint.NewClient(ne, endpointProgress)
+	da.client = endpoint.NewClient(ne, endpointProgressTimeout)
 	da.leases = lease.NewManager(prefix, da.store, string(da.peers.Incarnation()), rs.GetRollout().GetLease().AsDuration(), lo)
 	da.relay = relay.New(
 		relay.Options{Dialect: platform.Dialect{}, Serving: rs.GetServing(), Rollout: rs.GetRollout()},
@@ -96,7 +104,7 @@
 }
 
 func (da *Daemon) peerOptions() peer.Options {
-	rs := da.set
+	rs := da.settings
 	ps, ls := rs.GetPeers(), rs.GetListen()
 	return peer.Options{
 		Self: &rpc.Member{
@@ -110,7 +118,8 @@
 	}
 }
 
-// describe tells the other routers whether this one takes requests.
+// describe sets the fields of this router's member record that change while it
+// runs: whether it drains and, in a small group, its requests in flight.
 func (da *Daemon) describe(me *rpc.Member) {
 	me.Draining = !da.relay.Ready()
 	if !da.peers.Large() {
@@ -118,9 +127,9 @@
 	}
 }
 
-// Start opens the listeners and starts the daemon's work.
+// Start opens the listeners and starts the background goroutines.
 func (da *Daemon) Start() error {
-	ls := da.set.GetListen()
+	ls := da.settings.GetListen()
 	for _, sv := range []struct {
 		address string
 		handler http.Handler
@@ -128,7 +137,7 @@
 		{ls.GetPeers(), peer.NewServer(da.peers, nil, nil).Handler()},
 		{ls.GetAdmin(), admin.NewRouter(da.holder, da.metrics, da.Dump, nil)},
 		{ls.GetReadiness(), platform.NewReadinessHandler(da.relay.Ready)},
-		{ls.GetDirectory(), platform.NewDirectoryHandler(da.addresses, da.set.GetServing().GetAddressKeep().AsDuration)},
+		{ls.GetDirectory(), platform.NewDirectoryHandler(da.addresses, da.settings.GetServing().GetAddressKeep().AsDuration)},
 		{ls.GetCallers(), platform.NewCallerHandler(da.relay, da.holder)},
 	} {
 		if err := da.serve(sv.address, sv.handler); err != nil {
@@ -141,27 +150,28 @@
 	da.group.Go(da.registry.Run)
 	da.group.Go(da.relay.Run)
 	da.group.Go(da.exchange)
-	da.group.Every(rolloutInterval, da.control)
+	da.group.Every(rolloutInterval, da.advanceRollouts)
 	da.group.Every(idleInterval, da.closeIdle)
 	da.log.Info(event.Started, event.Fields{"incarnation": da.peers.Incarnation(), "callers": ls.GetCallers()})
 	return nil
 }
 
 func (da *Daemon) serve(address string, ha http.Handler) error {
-	sv := &http.Server{Handler: ha, ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes, ConnState: da.idle.note}
+	sv := &http.Server{Handler: ha, ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes, ConnState: da.idle.connStateChanged}
 	da.servers = append(da.servers, sv)
-	return da.net.Serve(da.group, address, sv, func(err error) {
+	return da.network.Serve(da.group, address, sv, func(err error) {
 		da.log.Warn(event.ListenerFailed, err, event.Fields{"address": address})
 	})
 }
 
-// gather is how long changes of the policy are gathered before the store is
-// asked for more.
-func (da *Daemon) gather() time.Duration {
-	return min(da.peers.Paced(gatherWait), longestGather)
+// batchDelay returns how long the watcher waits before it asks the store for
+// further policy changes.
+func (da *Daemon) batchDelay() time.Duration {
+	return min(da.peers.Paced(batchWait), maxBatchWait)
 }
 
-// exchange gives and takes the routers' word on their work until ctx ends.
+// exchange publishes this router's load and release health to its peers, and
+// applies what they have published, until ctx ends.
 func (da *Daemon) exchange(ctx context.Context) {
 	for {
 		da.relay.Publish()
@@ -173,13 +183,14 @@
 }
 
 func (da *Daemon) closeIdle(context.Context) {
-	da.idle.closeSince(time.Now().Add(-da.holder.Set().SiteLimits().IdleTimeout()))
+	da.idle.closeIdleSince(time.Now().Add(-da.holder.Set().SiteLimits().IdleTimeout()))
 }
 
-// addresses lists the routers that callers in a failure domain should use.
+// addresses returns the addresses of the routers that callers in a failure
+// domain should connect to.
 func (da *Daemon) addresses(domain policy.FailureDomain) []directory.Address {
 	cas := []directory.Candidate{{
-		VM: da.peers.VM(), Address: da.set.GetListen().GetCallers(), FailureDomain: da.peers.FailureDomain(),
+		VM: da.peers.VM(), Address: da.settings.GetListen().GetCallers(), FailureDomain: da.peers.FailureDomain(),
 		Draining: !da.relay.Ready(), InFlight: da.relay.InFlight(),
 	}}
 	for _, mb := range da.peers.Entries() {
@@ -189,9 +200,10 @@
 	return directory.Select(cas, func(vm.ID) bool { return false }, domain, rng)
 }
 
-// Drain is a graceful shutdown's first part: the daemon leaves the address
-// answers and stops being ready, goes on serving while callers leave, and waits
-// until every answer is complete or ctx ends.
+// Drain is the first part of a graceful shutdown. The daemon reports that it
+// is not ready, peers stop listing its address, and requests that still arrive
+// are served for listenAfterDrain. Drain blocks until every answer is complete
+// or ctx ends.
 func (da *Daemon) Drain(ctx context.Context) {
 	da.log.Info(event.Draining, event.Fields{"in_flight": da.relay.InFlight()})
 	da.relay.Drain()
@@ -203,7 +215,7 @@
 	}
 }
 
-// Close ends the daemon and waits for its work.
+// Close stops the daemon and blocks until its goroutines have returned.
 func (da *Daemon) Close(ctx context.Context) {
 	for _, sv := range da.servers {
 		if err := sv.Close(); err != nil {
@@ -219,13 +231,14 @@
 	da.log.Info(event.Stopped, nil)
 }
 
-// Reload implements command.Reloader. Listeners, the store's place and the
-// peers' seeds keep the values of the start.
+// Reload implements command.Reloader. It applies the serving and roll-out
+// settings; changes to listeners, the store's address and the peers' seeds take
+// effect only at the next start.
 func (da *Daemon) Reload(rs *rpc.RouterSettings) {
 	da.relay.SetOptions(relay.Options{Dialect: platform.Dialect{}, Serving: rs.GetServing(), Rollout: rs.GetRollout()})
 }
 
-// State is the router's dump.
+// State is the router's state as served in its dump.
 type State struct {
 	VM             vm.ID            `json:"vm"`
 	Incarnation    peer.Incarnation `json:"incarnation"`
@@ -238,7 +251,7 @@
 	Relay          relay.State      `json:"relay"`
 }
 
-// Dump gives the router's state.
+// Dump returns the router's state as a State.
 func (da *Daemon) Dump() any {
 	return State{
 		VM: da.peers.VM(), Incarnation: da.peers.Incarnation(), PolicyRevision: da.holder.Set().Revision,
