--- a/directory/directory.go
+++ b/directory/directory.go
@@ -1,4 +1,5 @@
-// Package directory decides which entries callers are told to use.
+// Package directory selects the entries or routers whose addresses are returned to
+// callers that ask where to connect. Below, entry means either of the two.
 package directory
 
 import (
@@ -11,29 +12,31 @@
 	"tanagerpoint.example/tanager/vm"
 )
 
-// maxAddresses bounds an answer at a site with many entries.
+// maxAddresses bounds the number of addresses in one answer.
 const maxAddresses = 16
 
-// remoteWeight is the weight of an entry in another failure domain than the
-// caller's, against one in its own.
+// remoteWeight is the factor on the weight of an entry in another failure domain
+// than the caller's.
 const remoteWeight = 0.9
 
-// Addresses tells callers which entries to use.
+// Addresses is the answer to a caller that asks which entries to connect to.
 type Addresses struct {
 	Entries []Address `json:"entries"`
-	// KeepUntil is when the caller must ask again.
+	// KeepUntil is the time from which the caller must ask again, KeepMS the
+	// milliseconds until then.
 	KeepUntil time.Time `json:"keep_until"`
 	KeepMS    int64     `json:"keep_ms"`
 }
 
-// Address is one entry. Callers choose at random by weight, or take the first.
+// Address is the address of one entry. A caller connects to one at random with a
+// probability in proportion to its weight, or to the first.
 type Address struct {
 	Address       string               `json:"address"`
 	FailureDomain policy.FailureDomain `json:"failure_domain"`
 	Weight        float64              `json:"weight"`
 }
 
-// Candidate is an entry that callers may be told to use.
+// Candidate is an entry that Select may return.
 type Candidate struct {
 	VM            vm.ID
 	Address       string
@@ -42,41 +45,44 @@
 	InFlight      int64
 }
 
-// Select decides the addresses, at most sixteen, for a caller in a failure domain, "" when
-// unknown. Entries that drain, or whose VM is leaving, are left out. The order
-// is random by weight, so that callers that take the first are spread too.
-func Select(sts []Candidate, leaving func(vm.ID) bool, domain policy.FailureDomain, rng *rand.Rand) []Address {
+// Select returns at most maxAddresses addresses for a caller in a failure domain, ""
+// when it is unknown. It leaves out the entries that drain or whose VM is leaving.
+// Entries with fewer requests in flight than the mean weigh more. The order is a
+// random one by weight, so that the load is also spread over callers that connect
+// to the first address.
+func Select(cas []Candidate, leaving func(vm.ID) bool, domain policy.FailureDomain, rng *rand.Rand) []Address {
 	total := int64(0)
-	for _, st := range sts {
-		total += st.InFlight
+	for _, ca := range cas {
+		total += ca.InFlight
 	}
-	mean := float64(total)/float64(max(1, len(sts))) + 1
-	type drawn struct {
+	mean := float64(total)/float64(max(1, len(cas))) + 1
+	type sampled struct {
 		address Address
 		key     float64
 	}
-	var all []drawn
-	for _, st := range sts {
-		if st.Draining || leaving(st.VM) {
+	var all []sampled
+	for _, ca := range cas {
+		if ca.Draining || leaving(ca.VM) {
 			continue
 		}
-		weight := 2 / (1 + float64(st.InFlight+1)/mean)
-		if domain != "" && st.FailureDomain != domain {
+		weight := 2 / (1 + float64(ca.InFlight+1)/mean)
+		if domain != "" && ca.FailureDomain != domain {
 			weight *= remoteWeight
 		}
-		// Weighted sampling after Efraimidis and Spirakis, 2006.
+		// Weighted random sampling without replacement: Efraimidis and Spirakis,
+		// 2006.
 		key := math.Log(rng.Float64()) / weight
-		all = append(all, drawn{Address{Address: st.Address, FailureDomain: st.FailureDomain, Weight: weight}, key})
+		all = append(all, sampled{Address{Address: ca.Address, FailureDomain: ca.FailureDomain, Weight: weight}, key})
 	}
-	slices.SortFunc(all, func(a, b drawn) int {
+	slices.SortFunc(all, func(a, b sampled) int {
 		if a.key > b.key {
 			return -1
 		}
 		return 1
 	})
 	out := []Address{}
-	for _, dr := range all[:min(maxAddresses, len(all))] {
-		out = append(out, dr.address)
+	for _, sa := range all[:min(maxAddresses, len(all))] {
+		out = append(out, sa.address)
 	}
 	return out
 }
