--- a/network/network.go
+++ b/network/network.go
@@ -1,5 +1,5 @@
-// Package network opens listeners and connections. Tests replace it with
-// connections in memory.
+// Package network opens listeners and connections. Tests replace the network of the
+// operating system by connections in memory.
 package network
 
 import (
@@ -16,24 +16,25 @@
 	"tanagerpoint.example/tanager/worker"
 )
 
-// idleLimit is how long a pooled connection is trusted: something between the
-// ends may forget it after that.
-const idleLimit = 3 * time.Second
+// idleConnTimeout is how long an idle pooled connection may be reused: after that, a
+// device on the path, such as a firewall or NAT, may have dropped its state.
+const idleConnTimeout = 3 * time.Second
 
-// Network is how a daemon reaches others and is reached.
+// Network holds the functions with which a daemon opens its listeners and
+// connections.
 type Network struct {
 	Listen func(address string) (net.Listener, error)
 	Dial   func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// unacknowledgedLimit is how long sent data may stay unacknowledged before a
-// connection fails: a peer behind a partition gives no other sign.
-const unacknowledgedLimit = 2500 * time.Millisecond
+// unacknowledgedTimeout is how long sent data may stay unacknowledged before a
+// connection fails. A peer behind a network partition is detected in no other way.
+const unacknowledgedTimeout = 2500 * time.Millisecond
 
-// Real gives the machine's network over TCP.
+// Real returns the TCP network of the operating system.
 func Real() Network {
-	di := &net.Dialer{Timeout: time.Second, KeepAlive: time.Second, Control: limitUnacknowledged}
-	li := &net.ListenConfig{KeepAlive: time.Second, Control: limitUnacknowledged}
+	di := &net.Dialer{Timeout: time.Second, KeepAlive: time.Second, Control: setUserTimeout}
+	li := &net.ListenConfig{KeepAlive: time.Second, Control: setUserTimeout}
 	return Network{
 		Listen: func(address string) (net.Listener, error) {
 			return li.Listen(context.Background(), "tcp", address)
@@ -42,17 +43,19 @@
 	}
 }
 
-// limitUnacknowledged sets TCP_USER_TIMEOUT; accepted connections inherit it.
-func limitUnacknowledged(_, _ string, rc syscall.RawConn) error {
+// setUserTimeout sets TCP_USER_TIMEOUT to unacknowledgedTimeout on a socket.
+// Connections that a listening socket accepts inherit it.
+func setUserTimeout(_, _ string, rc syscall.RawConn) error {
 	var failed error
 	err := rc.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledgedLimit.Milliseconds()))
+		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledgedTimeout.Milliseconds()))
 	})
 	return errors.Join(err, failed)
 }
 
-// Serve opens a listener and serves on it in a goroutine of a group, until the
-// server is closed. failed hears why it ended otherwise.
+// Serve opens a listener and serves on it in a goroutine of gr until sv is closed.
+// It returns an error when the address cannot be listened on, and calls failed when
+// serving ends with an error later.
 func (ne Network) Serve(gr *worker.Group, address string, sv *http.Server, failed func(err error)) error {
 	li, err := ne.Listen(address)
 	if err != nil {
@@ -66,26 +69,28 @@
 	return nil
 }
 
-// Client gives an HTTP client that pools up to idle connections a host.
+// Client returns an HTTP client that keeps up to idle idle connections for each host
+// and does not follow redirects.
 func (ne Network) Client(idle int) *http.Client {
-	return &http.Client{CheckRedirect: keepRedirect, Transport: &http.Transport{
+	return &http.Client{CheckRedirect: returnRedirect, Transport: &http.Transport{
 		DialContext:         ne.Dial,
 		MaxIdleConnsPerHost: idle,
-		IdleConnTimeout:     idleLimit,
+		IdleConnTimeout:     idleConnTimeout,
 		DisableCompression:  true,
 	}}
 }
 
-// UnpooledClient gives an HTTP client that opens a new connection for each
-// request. net/http then never sends a request a second time by itself, which
-// it may do on a pooled connection.
+// UnpooledClient returns an HTTP client that opens a new connection for each request
+// and does not follow redirects. On a pooled connection net/http may send a request
+// a second time by itself; on a new one it never does.
 func (ne Network) UnpooledClient() *http.Client {
-	return &http.Client{CheckRedirect: keepRedirect, Transport: &http.Transport{
+	return &http.Client{CheckRedirect: returnRedirect, Transport: &http.Transport{
 		DialContext:        ne.Dial,
 		DisableKeepAlives:  true,
 		DisableCompression: true,
 	}}
 }
 
-// keepRedirect gives a redirect back as the answer that it is.
-func keepRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+// returnRedirect is a CheckRedirect function that returns redirects to the caller
+// instead of following them.
+func returnRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
