--- a/vm/vm.go
+++ b/vm/vm.go
@@ -1,5 +1,5 @@
-// Package vm follows the platform's VM list, which is in the format of
-// Prometheus HTTP service discovery. The list lags behind the VMs.
+// Package vm polls the platform's VM list, which is in the format of Prometheus HTTP
+// service discovery. The list lags behind the state of the VMs.
 package vm
 
 import (
@@ -17,22 +17,22 @@
 	"tanagerpoint.example/tanager/worker"
 )
 
-// ID names a VM.
+// ID identifies a VM.
 type ID string
 
-// State is what the list says of a VM.
+// State is the state of a VM in the list.
 type State string
 
-// The states.
+// The states of a VM. A leaving VM gets no new work, and callers are not sent to it.
 const (
 	Live    State = "live"
 	Leaving State = "leaving"
 )
 
-// Role is what a VM is for.
+// Role is the kind of program that a VM runs.
 type Role string
 
-// The roles.
+// The roles of a VM.
 const (
 	RoleEntry    Role = "entry"
 	RoleEndpoint Role = "endpoint"
@@ -44,24 +44,24 @@
 	maxListBytes = 16 << 20
 )
 
-// VM is one line of the list. Address is where its peers' listener, or its
-// endpoint, is reached.
+// VM is one target of the list. Address is the address of the VM's listener for
+// peers, or of its endpoint.
 type VM struct {
 	ID      ID
 	Role    Role
 	State   State
 	Address string
-	// Endpoint is the id of the endpoint that runs on it, if any.
+	// Endpoint is the id of the endpoint that runs on the VM, if any.
 	Endpoint string
 }
 
-// TargetGroup is one element of the list's wire format.
+// TargetGroup is one element of the list in its JSON format.
 type TargetGroup struct {
 	Targets []string `json:"targets"`
 	Labels  Labels   `json:"labels"`
 }
 
-// Labels are the labels that the system reads.
+// Labels are the labels of a target group that this package reads.
 type Labels struct {
 	VM       string `json:"vm"`
 	Role     string `json:"role"`
@@ -69,7 +69,7 @@
 	Endpoint string `json:"endpoint,omitempty"`
 }
 
-// List is the newest state of the VM list.
+// List holds the newest VM list that was read. It is safe for concurrent use.
 type List struct {
 	url    string
 	client *http.Client
@@ -77,24 +77,24 @@
 	state  atomic.Pointer[listState]
 }
 
-// listState is one answer of the platform.
+// listState is the content of one answer of the platform. It does not change.
 type listState struct {
 	vms []VM
-	// leaving holds the endpoints whose VMs are leaving.
+	// leaving holds the ids of the endpoints whose VMs are leaving.
 	leaving map[string]bool
 }
 
-// NewList gives an empty list; Run follows the platform's.
+// NewList returns an empty list; Run polls the platform's list at url.
 func NewList(url string, ne network.Network, lo *event.Log) *List {
 	li := &List{url: url, client: ne.Client(1), log: lo}
 	li.state.Store(&listState{})
 	return li
 }
 
-// Close ends the pooled connections.
+// Close closes the idle pooled connections.
 func (li *List) Close() { li.client.CloseIdleConnections() }
 
-// Entries lists the entry VMs.
+// Entries returns the VMs whose role is RoleEntry.
 func (li *List) Entries() []VM {
 	var out []VM
 	for _, vm := range li.state.Load().vms {
@@ -105,7 +105,7 @@
 	return out
 }
 
-// EntryAddresses lists the addresses of the entry VMs' peers' listeners.
+// EntryAddresses returns the addresses of the entry VMs' listeners for peers.
 func (li *List) EntryAddresses() []string {
 	var out []string
 	for _, v := range li.Entries() {
@@ -114,12 +114,13 @@
 	return out
 }
 
-// EndpointLeaving tells whether the VM of an endpoint is leaving.
+// EndpointLeaving reports whether the VM of an endpoint is leaving.
 func (li *List) EndpointLeaving(endpoint string) bool {
 	return li.state.Load().leaving[endpoint]
 }
 
-// Run polls the platform until ctx ends.
+// Run polls the platform until ctx ends. After a failed poll the last list stays in
+// use; only the first of consecutive failures is logged.
 func (li *List) Run(ctx context.Context) {
 	failed := false
 	for ctx.Err() == nil {
@@ -145,7 +146,7 @@
 	}
 	defer func() { _ = rs.Body.Close() }()
 	if rs.StatusCode != http.StatusOK {
-		return eris.Errorf("List.poll: %s", rs.Status)
+		return eris.Errorf("List.poll: VM list answered with status %s", rs.Status)
 	}
 	var grs []TargetGroup
 	if err := json.NewDecoder(io.LimitReader(rs.Body, maxListBytes)).Decode(&grs); err != nil {
