--- a/network/network.go
+++ b/network/network.go
@@ -28,10 +28,11 @@
 }
 
 // unacknowledgedTimeout is how long sent data may stay unacknowledged before a
-// connection fails. A peer behind a network partition is detected in no other way.
+// connection fails. A peer behind a network partition gives no other sign.
 const unacknowledgedTimeout = 2500 * time.Millisecond
 
-// Real returns the TCP network of the operating system.
+// Real returns the TCP network of the operating system. Keep-alive probes go out
+// every second, and a dial fails after a second.
 func Real() Network {
 	di := &net.Dialer{Timeout: time.Second, KeepAlive: time.Second, Control: setUserTimeout}
 	li := &net.ListenConfig{KeepAlive: time.Second, Control: setUserTimeout}
@@ -69,8 +70,8 @@
 	return nil
 }
 
-// Client returns an HTTP client that keeps up to idle idle connections for each host
-// and does not follow redirects.
+// Client returns an HTTP client that pools at most idle unused connections to each
+// host and does not follow redirects.
 func (ne Network) Client(idle int) *http.Client {
 	return &http.Client{CheckRedirect: returnRedirect, Transport: &http.Transport{
 		DialContext:         ne.Dial,
