--- a/bill/hold.go
+++ b/bill/hold.go
@@ -45,7 +45,7 @@
 	defer bo.mu.Unlock()
 	out := map[heldKey]heldBatch{}
 	for key, hb := range bo.held {
-		heard, ok := bo.peers.Heard(key.incarnation)
+		heard, ok := bo.peers.LastHeard(key.incarnation)
 		if !ok || now.Sub(heard) > adoptAfter || now.After(hb.checkAt) {
 			out[key] = hb
 		}
--- a/bill/list.go
+++ b/bill/list.go
@@ -61,7 +61,7 @@
 // Total sums an organisation's bills for one version or service.
 type Total struct {
 	Organisation string
-	What         string
+	Resource     string
 	Bills        int
 	InputTokens  int64
 	OutputTokens int64
@@ -76,7 +76,7 @@
 		gr := group{bi.GetOrganisation(), cmp.Or(bi.GetService(), bi.GetVersion())}
 		su, ok := sums[gr]
 		if !ok {
-			su = &Total{Organisation: gr.organisation, What: gr.what}
+			su = &Total{Organisation: gr.organisation, Resource: gr.what}
 			sums[gr] = su
 		}
 		su.Bills++
@@ -89,7 +89,7 @@
 		out = append(out, *su)
 	}
 	slices.SortFunc(out, func(a, b Total) int {
-		return cmp.Or(cmp.Compare(a.Organisation, b.Organisation), cmp.Compare(a.What, b.What))
+		return cmp.Or(cmp.Compare(a.Organisation, b.Organisation), cmp.Compare(a.Resource, b.Resource))
 	})
 	return out
 }
--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -34,7 +34,7 @@
 			Vm: fmt.Sprintf("np-central-%d", i), Role: peer.RoleEntry, Incarnation: "01M8ZDYG1CVNSVXNP0W41AC5YR", FailureDomain: "np-central-a",
 			PeerAddress: "10.20.0.11:7700", CallersAddress: "10.20.0.11:7800", AdminAddress: "10.20.0.11:7900",
 		}
-		gr.PublishAs(fmt.Sprintf("member/entry/np-central-%d", i), peer.Version{Fence: 1, Sequence: time.Now().UnixNano()}, me)
+		gr.PublishVersion(fmt.Sprintf("member/entry/np-central-%d", i), peer.Version{Fence: 1, Sequence: time.Now().UnixNano()}, me)
 	}
 }
 
--- a/cmd/tanagerctl/daemon.go
+++ b/cmd/tanagerctl/daemon.go
@@ -129,7 +129,7 @@
 
 func writeSums(wr io.Writer, li bill.Listing) {
 	for _, su := range bill.Sum(li.Bills) {
-		_, _ = fmt.Fprintf(wr, "%-24s %-24s bills=%d in=%d out=%d cost=%d\n", su.Organisation, su.What, su.Bills, su.InputTokens, su.OutputTokens, su.Cost)
+		_, _ = fmt.Fprintf(wr, "%-24s %-24s bills=%d in=%d out=%d cost=%d\n", su.Organisation, su.Resource, su.Bills, su.InputTokens, su.OutputTokens, su.Cost)
 	}
 }
 
--- a/configuration/holder.go
+++ b/configuration/holder.go
@@ -55,9 +55,9 @@
 	})
 }
 
-// Follow brings the changes into force that translate makes of the set. The
+// UpdateFunc brings the changes into force that translate makes of the set. The
 // set does not change between the two: changes may depend on what it holds.
-func (ho *Holder) Follow(translate func(se *policy.Set) []policy.Stored) {
+func (ho *Holder) UpdateFunc(translate func(se *policy.Set) []policy.Stored) {
 	ho.change(func(old *policy.Set) *policy.Set {
 		changes := translate(old)
 		newest := store.Revision(0)
@@ -115,9 +115,9 @@
 // nothing to report says so more often.
 const evidenceGap = 3 * time.Second
 
-// SteadyFrom gives since when the store has been known to answer, this daemon
+// StoreAvailableSince gives since when the store has been known to answer, this daemon
 // or another, without a gap. It is in the future while it does not.
-func (ho *Holder) SteadyFrom(now time.Time) time.Time {
+func (ho *Holder) StoreAvailableSince(now time.Time) time.Time {
 	ho.mu.Lock()
 	defer ho.mu.Unlock()
 	if now.Sub(ho.evidence) > evidenceGap {
--- a/configuration/watcher.go
+++ b/configuration/watcher.go
@@ -96,16 +96,16 @@
 	return &Watcher{layout: la, store: st, holder: ho, log: lo, gather: func() time.Duration { return 0 }}
 }
 
-// GatherBy lets changes that come together come in one answer, where the store
+// SetBatchDelay lets changes that come together come in one answer, where the store
 // takes a call for each: after changes the watch rests for the time given. It
 // is called before Run.
-func (wa *Watcher) GatherBy(gather func() time.Duration) { wa.gather = gather }
+func (wa *Watcher) SetBatchDelay(gather func() time.Duration) { wa.gather = gather }
 
-// Opened counts the watches opened so far.
-func (wa *Watcher) Opened() int64 { return wa.opened.Load() }
+// WatchesOpened counts the watches opened so far.
+func (wa *Watcher) WatchesOpened() int64 { return wa.opened.Load() }
 
-// Answered gives when the store last answered.
-func (wa *Watcher) Answered() time.Time { return time.Unix(0, wa.answered.Load()) }
+// LastAnswer gives when the store last answered.
+func (wa *Watcher) LastAnswer() time.Time { return time.Unix(0, wa.answered.Load()) }
 
 func (wa *Watcher) noteAnswer() { wa.answered.Store(time.Now().UnixNano()) }
 
@@ -162,7 +162,7 @@
 	err := wa.store.Watch(ctx, wa.layout.Prefix(), from, func(no store.Notice) {
 		wa.noteAnswer()
 		if len(no.Changes) > 0 {
-			wa.holder.Follow(func(se *policy.Set) []policy.Stored { return wa.layout.Changed(se, no.Changes) })
+			wa.holder.UpdateFunc(func(se *policy.Set) []policy.Stored { return wa.layout.Changed(se, no.Changes) })
 		}
 		next = max(next, no.Revision+1)
 		wa.holder.Confirm(wa.holder.Set().Revision, time.Now())
--- a/configuration/writer.go
+++ b/configuration/writer.go
@@ -245,8 +245,8 @@
 	return out, nil
 }
 
-// Trim deletes a record's oldest states beyond those that are kept.
-func (wr *Writer) Trim(ctx context.Context, key string) error {
+// TrimHistory deletes a record's oldest states beyond those that are kept.
+func (wr *Writer) TrimHistory(ctx context.Context, key string) error {
 	pa, err := wr.store.Range(ctx, wr.keys.History(key))
 	if err != nil {
 		return eris.Wrap(err, "Writer.Trim")
--- a/entry/admin.go
+++ b/entry/admin.go
@@ -77,7 +77,7 @@
 		VM: da.peers.VM(), Incarnation: da.peers.Incarnation(), Started: da.started,
 		Draining: da.draining.Load(), Isolated: da.isolated.Load(), InFlight: da.inFlight.Load(),
 		PolicyRevision: se.Revision, PolicyRecords: se.Len(), PolicyEvidence: da.holder.Evidence(),
-		WatchesOpened: da.watcher.Opened(), StoreCalls: da.store.Calls(),
+		WatchesOpened: da.watcher.WatchesOpened(), StoreCalls: da.store.Calls(),
 		Members: da.peers.Members(), Pools: map[string]PoolState{}, Endpoints: da.tracker.States(),
 		Pins: da.pins.Len(), BillsUnsealed: da.book.Unsealed(), BillsHeld: da.book.Held(),
 		RetriesLeft: da.budget.Left(), AnswersDropped: da.client.Dropped(), StreamsResumed: da.client.Resumed(),
--- a/entry/cascades.go
+++ b/entry/cascades.go
@@ -47,7 +47,7 @@
 
 // refresh takes in the stewards' newest rating sums.
 func (ca *cascades) refresh(se *policy.Set) {
-	its := ca.peers.Board().Under(RatingsPrefix)
+	its := ca.peers.Table().List(RatingsPrefix)
 	ca.mu.Lock()
 	defer ca.mu.Unlock()
 	for _, it := range its {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -136,7 +136,7 @@
 	}
 	opt := peer.OptionsOf(es, peer.RoleEntry)
 	opt.Self.CallersAddress = public
-	opt.Listed, opt.Describe = da.vms.EntryAddresses, da.describe
+	opt.PeerAddresses, opt.Describe = da.vms.EntryAddresses, da.describe
 	return opt
 }
 
--- a/entry/pool.go
+++ b/entry/pool.go
@@ -239,7 +239,7 @@
 		if !mb.Draining || mb.InFlight > 0 {
 			re.entries++
 		}
-		if it, ok := po.daemon.peers.Board().Get(usagePrefix + string(mb.VM)); ok {
+		if it, ok := po.daemon.peers.Table().Get(usagePrefix + string(mb.VM)); ok {
 			seen[it.Key] = it.Version
 			re.add(it)
 		}
--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -105,7 +105,7 @@
 func (ro *rollouts) refresh() {
 	se := ro.holder.Set()
 	reported := map[policy.VersionID]bool{}
-	for _, it := range ro.peers.Board().Under(HealthPrefix) {
+	for _, it := range ro.peers.Table().List(HealthPrefix) {
 		var he rpc.VersionHealth
 		if proto.Unmarshal(it.Value, &he) == nil && he.GetSuspect() {
 			reported[policy.VersionID(he.GetVersion())] = true
--- a/peer/board.go
+++ b/peer/board.go
@@ -49,20 +49,20 @@
 	member Member
 }
 
-// Board holds the newest item of each key.
+// Table holds the newest item of each key.
 //
 // mu guards all fields; no other lock is taken while it is held.
-type Board struct {
+type Table struct {
 	mu     sync.Mutex
 	items  map[string]Item
 	change int64
 }
 
-// NewBoard gives an empty board.
-func NewBoard() *Board { return &Board{items: map[string]Item{}} }
+// NewTable gives an empty board.
+func NewTable() *Table { return &Table{items: map[string]Item{}} }
 
 // Put writes an item, unless the board has a newer one.
-func (bo *Board) Put(key string, ve Version, value []byte, writtenAt time.Time) bool {
+func (bo *Table) Put(key string, ve Version, value []byte, writtenAt time.Time) bool {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
 	old, ok := bo.items[key]
@@ -73,7 +73,7 @@
 	return true
 }
 
-func (bo *Board) putLocked(it Item) {
+func (bo *Table) putLocked(it Item) {
 	bo.change++
 	it.change, it.valueChange = bo.change, bo.change
 	old, ok := bo.items[it.Key]
@@ -87,7 +87,7 @@
 }
 
 // refresh takes a newer version of a value that the board has.
-func (bo *Board) refresh(key string, ve Version, writtenAt time.Time) {
+func (bo *Table) refresh(key string, ve Version, writtenAt time.Time) {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
 	old, ok := bo.items[key]
@@ -97,7 +97,7 @@
 }
 
 // isFresh tells whether a value need not be written again yet.
-func (bo *Board) isFresh(key string, fence int64, value []byte, now time.Time) bool {
+func (bo *Table) isFresh(key string, fence int64, value []byte, now time.Time) bool {
 	if strings.HasPrefix(key, memberPrefix) {
 		return false
 	}
@@ -108,15 +108,15 @@
 }
 
 // Get gives one item.
-func (bo *Board) Get(key string) (Item, bool) {
+func (bo *Table) Get(key string) (Item, bool) {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
 	it, ok := bo.items[key]
 	return it, ok
 }
 
-// Under lists the items under a prefix, by key.
-func (bo *Board) Under(prefix string) []Item {
+// List lists the items under a prefix, by key.
+func (bo *Table) List(prefix string) []Item {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
 	var out []Item
@@ -130,7 +130,7 @@
 }
 
 // since lists what changed after a counter, and the counter now.
-func (bo *Board) since(change int64, now time.Time) ([]*rpc.Item, int64) {
+func (bo *Table) since(change int64, now time.Time) ([]*rpc.Item, int64) {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
 	var out []*rpc.Item
@@ -154,7 +154,7 @@
 }
 
 // merge takes a peer's items.
-func (bo *Board) merge(its []*rpc.Item, now time.Time) {
+func (bo *Table) merge(its []*rpc.Item, now time.Time) {
 	for _, it := range its {
 		writtenAt := now.Add(-time.Duration(it.GetAgeMs()) * time.Millisecond)
 		ve := Version{Fence: it.GetFence(), Sequence: it.GetSequence()}
--- a/peer/group.go
+++ b/peer/group.go
@@ -42,8 +42,8 @@
 	Fanout      int
 	FailedAfter time.Duration
 	Seeds       []string
-	// Listed gives the peers' addresses in the VM list.
-	Listed func() []string
+	// PeerAddresses gives the peers' addresses in the VM list.
+	PeerAddresses func() []string
 	// Describe fills in what changes about this daemon.
 	Describe func(me *rpc.Member)
 }
@@ -74,7 +74,7 @@
 // before the board's and the holder's locks, never after.
 type Group struct {
 	opt    Options
-	board  *Board
+	board  *Table
 	holder *configuration.Holder
 	log    *event.Log
 	client *http.Client
@@ -110,7 +110,7 @@
 func NewGroup(opt Options, ho *configuration.Holder, ne network.Network, lo *event.Log) *Group {
 	opt.Self.Incarnation = ulid.Make().String()
 	return &Group{
-		opt: opt, board: NewBoard(), holder: ho, log: lo, behind: make(chan string, 1),
+		opt: opt, board: NewTable(), holder: ho, log: lo, behind: make(chan string, 1),
 		client:   ne.Client(2),
 		fence:    time.Now().UnixMilli(),
 		progress: map[string]progress{},
@@ -125,8 +125,8 @@
 // VM gives this daemon's VM.
 func (gr *Group) VM() vm.ID { return vm.ID(gr.opt.Self.GetVm()) }
 
-// Board gives the items.
-func (gr *Group) Board() *Board { return gr.board }
+// Table gives the items.
+func (gr *Group) Table() *Table { return gr.board }
 
 // Close ends the pooled connections.
 func (gr *Group) Close() { gr.client.CloseIdleConnections() }
@@ -139,11 +139,11 @@
 	gr.sequence++
 	ve := Version{Fence: gr.fence, Sequence: gr.sequence}
 	gr.mu.Unlock()
-	gr.PublishAs(key, ve, ms)
+	gr.PublishVersion(key, ve, ms)
 }
 
-// PublishAs writes an item whose order among several writers the caller gives.
-func (gr *Group) PublishAs(key string, ve Version, ms proto.Message) {
+// PublishVersion writes an item whose order among several writers the caller gives.
+func (gr *Group) PublishVersion(key string, ve Version, ms proto.Message) {
 	value, err := proto.MarshalOptions{Deterministic: true}.Marshal(ms)
 	if err != nil || gr.board.isFresh(key, ve.Fence, value, time.Now()) {
 		return
@@ -190,10 +190,10 @@
 		live = append(live, mb.PeerAddress)
 	}
 	candidates := slices.Clone(gr.opt.Seeds)
-	if gr.opt.Listed != nil {
-		candidates = append(candidates, gr.opt.Listed()...)
+	if gr.opt.PeerAddresses != nil {
+		candidates = append(candidates, gr.opt.PeerAddresses()...)
 	}
-	for _, it := range gr.board.Under(memberPrefix) {
+	for _, it := range gr.board.List(memberPrefix) {
 		candidates = append(candidates, it.member.PeerAddress)
 	}
 	for _, ad := range candidates {
--- a/peer/member.go
+++ b/peer/member.go
@@ -33,9 +33,9 @@
 func (gr *Group) Members() []Member {
 	now := time.Now()
 	var out []Member
-	for _, it := range gr.board.Under(memberPrefix) {
+	for _, it := range gr.board.List(memberPrefix) {
 		mb := it.member
-		mb.FailedAt = it.WrittenAt.Add(gr.Paced(gr.opt.FailedAfter))
+		mb.FailedAt = it.WrittenAt.Add(gr.ScaleInterval(gr.opt.FailedAfter))
 		if mb.Incarnation != gr.Incarnation() && mb.FailedAt.After(now) {
 			out = append(out, mb)
 		}
@@ -61,9 +61,9 @@
 	return before < first
 }
 
-// Heard gives when a run of a daemon was last heard of, over any peer.
-func (gr *Group) Heard(in Incarnation) (time.Time, bool) {
-	for _, it := range gr.board.Under(memberPrefix) {
+// LastHeard gives when a run of a daemon was last heard of, over any peer.
+func (gr *Group) LastHeard(in Incarnation) (time.Time, bool) {
+	for _, it := range gr.board.List(memberPrefix) {
 		if it.member.Incarnation == in {
 			return it.WrittenAt, true
 		}
@@ -78,7 +78,7 @@
 	reached := 1
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
-	for _, it := range gr.board.Under(memberPrefix + RoleEntry + "/") {
+	for _, it := range gr.board.List(memberPrefix + RoleEntry + "/") {
 		at, ok := gr.reached[it.member.Incarnation]
 		if ok && now.Sub(at) < gr.opt.FailedAfter {
 			reached++
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -54,14 +54,14 @@
 				ve:  peer.Version{Fence: rapid.Int64Range(1, 3).Draw(rt, "fence"), Sequence: rapid.Int64Range(1, 3).Draw(rt, "sequence")},
 			})
 		}
-		one, other := peer.NewBoard(), peer.NewBoard()
+		one, other := peer.NewTable(), peer.NewTable()
 		for _, wr := range writes {
 			one.Put(wr.key, wr.ve, nil, time.Now())
 		}
 		for _, wr := range rapid.Permutation(writes).Draw(rt, "order") {
 			other.Put(wr.key, wr.ve, nil, time.Now())
 		}
-		as, bs := one.Under(""), other.Under("")
+		as, bs := one.List(""), other.List("")
 		if len(as) != len(bs) {
 			rt.Fatalf("%d and %d items", len(as), len(bs))
 		}
--- a/peer/registry.go
+++ b/peer/registry.go
@@ -41,8 +41,8 @@
 	return &Registry{prefix: prefix + "member/", store: st, self: self, log: lo}
 }
 
-// Listed gives the addresses read last.
-func (rg *Registry) Listed() []string {
+// Addresses gives the addresses read last.
+func (rg *Registry) Addresses() []string {
 	rg.mu.Lock()
 	defer rg.mu.Unlock()
 	return rg.listed
--- a/peer/spread.go
+++ b/peer/spread.go
@@ -22,7 +22,7 @@
 func (gr *Group) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := gr.holder.Changed()
-		tm := time.NewTimer(gr.Paced(gr.opt.Interval))
+		tm := time.NewTimer(gr.ScaleInterval(gr.opt.Interval))
 		gr.announce()
 		gr.round(ctx)
 		gr.noteMembers()
@@ -52,8 +52,8 @@
 	}
 }
 
-// Paced gives an interval as it is at the group's size.
-func (gr *Group) Paced(interval time.Duration) time.Duration {
+// ScaleInterval gives an interval as it is at the group's size.
+func (gr *Group) ScaleInterval(interval time.Duration) time.Duration {
 	return interval * time.Duration(max(smallGroup, gr.size.Load())) / smallGroup
 }
 
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -35,7 +35,7 @@
 	others := map[policy.EndpointID]placement.Load{}
 	entries := ro.peers.Entries()
 	for _, mb := range entries {
-		it, ok := ro.peers.Board().Get(loadPrefix + string(mb.VM))
+		it, ok := ro.peers.Table().Get(loadPrefix + string(mb.VM))
 		var us rpc.Usage
 		if !ok || proto.Unmarshal(it.Value, &us) != nil {
 			continue
--- a/relay/fleet.go
+++ b/relay/fleet.go
@@ -94,7 +94,7 @@
 		}
 	}
 	sv := fl.router.options().Serving
-	if now.Sub(fl.router.holder.SteadyFrom(now)) > sv.GetStoreSettle().AsDuration() {
+	if now.Sub(fl.router.holder.StoreAvailableSince(now)) > sv.GetStoreSettle().AsDuration() {
 		return
 	}
 	for _, ens := range fl.members {
--- a/relay/release.go
+++ b/relay/release.go
@@ -169,7 +169,7 @@
 		started = time.UnixMilli(ro.StartedAtMs)
 	}
 	lasts := time.Duration(ro.DurationMs) * time.Millisecond
-	delay := min(re.router.peers.Paced(trialDelay), time.Duration(longestDelay*float64(lasts)))
+	delay := min(re.router.peers.ScaleInterval(trialDelay), time.Duration(longestDelay*float64(lasts)))
 	return rollout.Plan{StartedAt: started, TrialAt: started.Add(delay), DeadlineAt: started.Add(lasts)}
 }
 
@@ -244,7 +244,7 @@
 	var out heardRelease
 	pe := re.router.peers
 	own := healthKey(ro.Service, string(pe.VM()))
-	for _, it := range pe.Board().Under(healthPrefix + ro.Service + "/") {
+	for _, it := range pe.Table().List(healthPrefix + ro.Service + "/") {
 		var he rpc.VersionHealth
 		if it.Key == own || proto.Unmarshal(it.Value, &he) != nil || he.GetVersion() != ro.ToVersion {
 			continue
--- a/router/router.go
+++ b/router/router.go
@@ -84,7 +84,7 @@
 	da.watcher = configuration.NewWatcher(da.layout, da.store, da.holder, lo)
 	opt := da.peerOptions()
 	da.peers = peer.NewGroup(opt, da.holder, ne, lo)
-	da.watcher.GatherBy(da.gather)
+	da.watcher.SetBatchDelay(da.gather)
 	da.registry = peer.NewRegistry(prefix, da.store, opt.Self, lo)
 	da.client = endpoint.NewClient(ne, endpointProgress)
 	da.leases = lease.NewManager(prefix, da.store, string(da.peers.Incarnation()), rs.GetRollout().GetLease().AsDuration(), lo)
@@ -105,8 +105,8 @@
 		},
 		SharedKey: ps.GetSharedKey(), Interval: ps.GetInterval().AsDuration(), Fanout: int(ps.GetFanout()),
 		FailedAfter: ps.GetFailedAfter().AsDuration(), Seeds: ps.GetSeeds(),
-		Listed:   func() []string { return da.registry.Listed() },
-		Describe: da.describe,
+		PeerAddresses: func() []string { return da.registry.Addresses() },
+		Describe:      da.describe,
 	}
 }
 
@@ -158,7 +158,7 @@
 // gather is how long changes of the policy are gathered before the store is
 // asked for more.
 func (da *Daemon) gather() time.Duration {
-	return min(da.peers.Paced(gatherWait), longestGather)
+	return min(da.peers.ScaleInterval(gatherWait), longestGather)
 }
 
 // exchange gives and takes the routers' word on their work until ctx ends.
@@ -166,7 +166,7 @@
 	for {
 		da.relay.Publish()
 		da.relay.Refresh()
-		if !worker.Sleep(ctx, da.peers.Paced(publishInterval)) {
+		if !worker.Sleep(ctx, da.peers.ScaleInterval(publishInterval)) {
 			return
 		}
 	}
@@ -242,7 +242,7 @@
 func (da *Daemon) Dump() any {
 	return State{
 		VM: da.peers.VM(), Incarnation: da.peers.Incarnation(), PolicyRevision: da.holder.Set().Revision,
-		StoreAnswered: da.watcher.Answered(), Ready: da.relay.Ready(), InFlight: da.relay.InFlight(),
+		StoreAnswered: da.watcher.LastAnswer(), Ready: da.relay.Ready(), InFlight: da.relay.InFlight(),
 		Members: da.peers.Members(), Tasks: da.leases.List(), Relay: da.relay.State(),
 	}
 }
--- a/steward/ratings.go
+++ b/steward/ratings.go
@@ -109,7 +109,7 @@
 	}
 	for name, ras := range byCascade {
 		ve := peer.Version{Fence: int64(ho.Token), Sequence: time.Now().UnixNano()}
-		rt.daemon.peers.PublishAs(entry.RatingsPrefix+name, ve, ras)
+		rt.daemon.peers.PublishVersion(entry.RatingsPrefix+name, ve, ras)
 	}
 }
 
--- a/steward/rollout.go
+++ b/steward/rollout.go
@@ -77,7 +77,7 @@
 // candidate bad.
 func (rt *rolloutTask) readHealth(ro policy.Rollout) string {
 	reason := ""
-	for _, it := range rt.daemon.peers.Board().Under(entry.HealthPrefix + string(rt.id) + "/") {
+	for _, it := range rt.daemon.peers.Table().List(entry.HealthPrefix + string(rt.id) + "/") {
 		var he rpc.VersionHealth
 		if proto.Unmarshal(it.Value, &he) != nil || he.GetVersion() != ro.ToVersion {
 			continue
--- a/steward/steward.go
+++ b/steward/steward.go
@@ -84,7 +84,7 @@
 
 func (da *Daemon) peerOptions() peer.Options {
 	opt := peer.OptionsOf(da.set, peer.RoleSteward)
-	opt.Listed = da.vms.EntryAddresses
+	opt.PeerAddresses = da.vms.EntryAddresses
 	return opt
 }
 
--- a/steward/task.go
+++ b/steward/task.go
@@ -60,7 +60,7 @@
 			delete(ts.held, ta)
 			continue
 		}
-		ts.daemon.peers.PublishAs(taskPrefix+string(ta), peer.Version{Fence: int64(ho.Token), Sequence: time.Now().UnixNano()}, &rpc.Member{Vm: string(ts.daemon.peers.VM())})
+		ts.daemon.peers.PublishVersion(taskPrefix+string(ta), peer.Version{Fence: int64(ho.Token), Sequence: time.Now().UnixNano()}, &rpc.Member{Vm: string(ts.daemon.peers.VM())})
 		if work.look(ctx, ho) {
 			delete(ts.held, ta)
 			if err := ts.daemon.leases.Release(ctx, ta); err != nil {
@@ -97,7 +97,7 @@
 		return
 	}
 	ttl := ts.daemon.set.GetSteward().GetLease().AsDuration()
-	if it, ok := ts.daemon.peers.Board().Get(taskPrefix + string(ta)); ok && time.Since(it.WrittenAt) < ttl {
+	if it, ok := ts.daemon.peers.Table().Get(taskPrefix + string(ta)); ok && time.Since(it.WrittenAt) < ttl {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, ttl)
--- a/steward/trim.go
+++ b/steward/trim.go
@@ -38,7 +38,7 @@
 	if next == "" {
 		return false
 	}
-	if err := tt.daemon.writer.Trim(ctx, next); err != nil {
+	if err := tt.daemon.writer.TrimHistory(ctx, next); err != nil {
 		tt.daemon.log.Debug(event.StoreUnreachable, err, nil)
 	}
 	return false
