--- a/bill/bill.go
+++ b/bill/bill.go
@@ -43,12 +43,12 @@
 	checkAfter = time.Minute
 	// adoptInterval is the time between looks for failed owners.
 	adoptInterval = time.Second
-	// leastSealInterval is the least time between two batches, also when bills
+	// minSealInterval is the least time between two batches, also when bills
 	// wait for the store because peers are missing.
-	leastSealInterval = 25 * time.Millisecond
-	// entriesAtSealInterval is how many entries seal at the set interval; more
+	minSealInterval = 25 * time.Millisecond
+	// entriesAtFullRate is how many entries seal at the set interval; more
 	// of them seal less often, so that the store's writes do not grow.
-	entriesAtSealInterval = 8
+	entriesAtFullRate = 8
 )
 
 // ErrNotKept marks a bill that reached neither a peer nor the store.
@@ -86,8 +86,8 @@
 	checkAt time.Time
 }
 
-// addition is a bill on its way to the peers.
-type addition struct {
+// pendingBill is a bill on its way to the peers.
+type pendingBill struct {
 	bill *rpc.Bill
 	done chan error
 }
@@ -97,30 +97,30 @@
 // mu guards open, closed, held, sealed and number. It is taken before the
 // peers' locks, never after; no call is made while it is held.
 type Book struct {
-	opt       Options
-	store     store.Store
-	peers     *peer.Group
-	log       *event.Log
-	group     *worker.Group
-	additions chan *addition
-	sealNow   chan struct{}
-	unsealed  atomic.Int64
+	opt      Options
+	store    store.Store
+	peers    *peer.Group
+	log      *event.Log
+	group    *worker.Group
+	pending  chan *pendingBill
+	sealNow  chan struct{}
+	unsealed atomic.Int64
 
 	mu     sync.Mutex
 	number BatchNumber
 	open   *batch
 	closed []*batch
 	held   map[heldKey]heldBatch
-	// sealed are batches whose holders have not been notified yet.
-	sealed map[string][]int64
+	// unnotified are batches whose holders have not been notified yet.
+	unnotified map[string][]int64
 }
 
 // NewBook gives an empty book; Close ends it.
 func NewBook(opt Options, st store.Store, pe *peer.Group, lo *event.Log) *Book {
 	bo := &Book{
 		opt: opt, store: st, peers: pe, log: lo,
-		group: worker.NewGroup(), additions: make(chan *addition), sealNow: make(chan struct{}, 1),
-		held: map[heldKey]heldBatch{}, sealed: map[string][]int64{},
+		group: worker.NewGroup(), pending: make(chan *pendingBill), sealNow: make(chan struct{}, 1),
+		held: map[heldKey]heldBatch{}, unnotified: map[string][]int64{},
 	}
 	bo.open = bo.newBatch()
 	bo.group.Go(bo.copyLoop)
@@ -134,7 +134,7 @@
 	bo.group.Close()
 	bo.closeOpen()
 	bo.sealClosed(ctx)
-	bo.tellSealed(ctx)
+	bo.notifySealed(ctx)
 }
 
 func (bo *Book) newBatch() *batch {
@@ -163,23 +163,23 @@
 // has the bill. The answer's end must wait for it.
 func (bo *Book) Add(ctx context.Context, bi *rpc.Bill) error {
 	bo.unsealed.Add(1)
-	ad := &addition{bill: bi, done: make(chan error, 1)}
+	pb := &pendingBill{bill: bi, done: make(chan error, 1)}
 	select {
-	case bo.additions <- ad:
+	case bo.pending <- pb:
 	case <-bo.group.Context().Done():
-		bo.putOpen(nil, []*rpc.Bill{bi})
+		bo.appendOpen(nil, []*rpc.Bill{bi})
 		return eris.Wrap(ErrNotKept, "Book.Add: closed")
 	}
 	select {
-	case err := <-ad.done:
+	case err := <-pb.done:
 		return err
 	case <-ctx.Done():
 		return errors.Join(ErrNotKept, ctx.Err())
 	}
 }
 
-// putOpen adds bills to the open batch and gives it.
-func (bo *Book) putOpen(holders []string, bills []*rpc.Bill) *batch {
+// appendOpen adds bills to the open batch and gives it.
+func (bo *Book) appendOpen(holders []string, bills []*rpc.Bill) *batch {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
 	if len(bo.open.bills)+len(bills) > maxBatch {
@@ -236,14 +236,14 @@
 		tm.Stop()
 		bo.closeOpen()
 		bo.sealClosed(ctx)
-		bo.tellSealed(ctx)
-		worker.Sleep(ctx, leastSealInterval)
+		bo.notifySealed(ctx)
+		worker.Sleep(ctx, minSealInterval)
 	}
 }
 
 func (bo *Book) sealInterval() time.Duration {
 	entries := 1 + len(bo.peers.Entries())
-	return bo.opt.SealEvery * time.Duration(max(entriesAtSealInterval, entries)) / entriesAtSealInterval
+	return bo.opt.SealEvery * time.Duration(max(entriesAtFullRate, entries)) / entriesAtFullRate
 }
 
 func (bo *Book) sealClosed(ctx context.Context) {
@@ -263,7 +263,7 @@
 		bo.closed = bo.closed[1:]
 		close(ba.sealed)
 		for _, ad := range ba.holders {
-			bo.sealed[ad] = append(bo.sealed[ad], int64(ba.number))
+			bo.unnotified[ad] = append(bo.unnotified[ad], int64(ba.number))
 		}
 		bo.mu.Unlock()
 		bo.unsealed.Add(-int64(len(ba.bills)))
@@ -271,11 +271,11 @@
 	}
 }
 
-// tellSealed lets holders drop the copies of sealed batches.
-func (bo *Book) tellSealed(ctx context.Context) {
+// notifySealed lets holders drop the copies of sealed batches.
+func (bo *Book) notifySealed(ctx context.Context) {
 	bo.mu.Lock()
 	var holders []string
-	for ad := range bo.sealed {
+	for ad := range bo.unnotified {
 		holders = append(holders, ad)
 	}
 	bo.mu.Unlock()
@@ -284,22 +284,22 @@
 	}
 }
 
-func (bo *Book) takeSealed(ad string) []int64 {
+func (bo *Book) takeUnnotified(ad string) []int64 {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
-	out := bo.sealed[ad]
-	delete(bo.sealed, ad)
+	out := bo.unnotified[ad]
+	delete(bo.unnotified, ad)
 	return out
 }
 
-// putSealed keeps the numbers of batches whose holder did not hear of them,
+// requeueUnnotified keeps the numbers of batches whose holder did not hear of them,
 // for as long as it lives.
-func (bo *Book) putSealed(ad string, numbers []int64) {
+func (bo *Book) requeueUnnotified(ad string, numbers []int64) {
 	alive := slices.ContainsFunc(bo.peers.Entries(), func(mb peer.Member) bool { return mb.PeerAddress == ad })
 	if len(numbers) == 0 || !alive {
 		return
 	}
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
-	bo.sealed[ad] = append(bo.sealed[ad], numbers...)
+	bo.unnotified[ad] = append(bo.unnotified[ad], numbers...)
 }
--- a/bill/copy.go
+++ b/bill/copy.go
@@ -14,32 +14,32 @@
 // copyLoop sends bills to peers, all that came during one round in the next.
 func (bo *Book) copyLoop(ctx context.Context) {
 	for {
-		var ads []*addition
+		var pbs []*pendingBill
 		select {
-		case ad := <-bo.additions:
-			ads = append(ads, ad)
+		case pb := <-bo.pending:
+			pbs = append(pbs, pb)
 		case <-ctx.Done():
 			return
 		}
-		for more := true; more && len(ads) < maxBatch; {
+		for more := true; more && len(pbs) < maxBatch; {
 			select {
-			case ad := <-bo.additions:
-				ads = append(ads, ad)
+			case pb := <-bo.pending:
+				pbs = append(pbs, pb)
 			default:
 				more = false
 			}
 		}
-		bo.copyRound(ctx, ads)
+		bo.copyRound(ctx, pbs)
 	}
 }
 
-func (bo *Book) copyRound(ctx context.Context, ads []*addition) {
-	bills := make([]*rpc.Bill, len(ads))
-	for i, ad := range ads {
-		bills[i] = ad.bill
+func (bo *Book) copyRound(ctx context.Context, pbs []*pendingBill) {
+	bills := make([]*rpc.Bill, len(pbs))
+	for i, pb := range pbs {
+		bills[i] = pb.bill
 	}
 	targets := bo.pickHolders()
-	ba := bo.putOpen(targets, bills)
+	ba := bo.appendOpen(targets, bills)
 	copies := bo.copyTo(ctx, targets, ba.number, bills)
 	if copies < bo.opt.Copies {
 		bo.log.Debug(event.BillsNotCopied, nil, event.Fields{"copies": copies, "set": bo.opt.Copies})
@@ -47,35 +47,35 @@
 	if copies == 0 {
 		bo.requestSeal()
 	}
-	for _, ad := range ads {
+	for _, pb := range pbs {
 		if copies > 0 {
-			ad.done <- nil
+			pb.done <- nil
 			continue
 		}
-		bo.group.Go(func(ctx context.Context) { ad.done <- waitSealed(ctx, ba) })
+		bo.group.Go(func(ctx context.Context) { pb.done <- waitSealed(ctx, ba) })
 	}
 }
 
 // pickHolders chooses the peers for copies: the batch's own so far, then
 // entries in other failure domains, then any.
 func (bo *Book) pickHolders() []string {
-	mes := bo.peers.Entries()
+	mbs := bo.peers.Entries()
 	bo.mu.Lock()
 	chosen := slices.Clone(bo.open.holders)
 	bo.mu.Unlock()
 	live := func(ad string) bool {
-		return slices.ContainsFunc(mes, func(mb peer.Member) bool { return mb.PeerAddress == ad && !mb.Draining })
+		return slices.ContainsFunc(mbs, func(mb peer.Member) bool { return mb.PeerAddress == ad && !mb.Draining })
 	}
 	chosen = slices.DeleteFunc(chosen, func(ad string) bool { return !live(ad) })
 	var domains []string
-	for _, mb := range mes {
+	for _, mb := range mbs {
 		if slices.Contains(chosen, mb.PeerAddress) {
 			domains = append(domains, string(mb.FailureDomain))
 		}
 	}
 	for _, otherDomains := range []bool{true, false} {
-		for _, i := range shuffled(len(mes)) {
-			mb := mes[i]
+		for _, i := range shuffled(len(mbs)) {
+			mb := mbs[i]
 			if len(chosen) >= bo.opt.Copies {
 				return chosen
 			}
@@ -99,7 +99,7 @@
 	for _, ad := range targets {
 		rq := &rpc.HoldBillsRequest{
 			OwnerVm: string(bo.peers.VM()), OwnerIncarnation: string(bo.peers.Incarnation()),
-			Batch: int64(number), Bills: bills, Sealed: bo.takeSealed(ad),
+			Batch: int64(number), Bills: bills, Sealed: bo.takeUnnotified(ad),
 		}
 		wg.Go(func(context.Context) {
 			ctx, cancel := context.WithTimeout(ctx, copyTimeout)
@@ -108,17 +108,17 @@
 				copies.Add(1)
 				return
 			}
-			bo.forgetHolder(ad)
-			bo.putSealed(ad, rq.GetSealed())
+			bo.removeHolder(ad)
+			bo.requeueUnnotified(ad, rq.GetSealed())
 		})
 	}
 	wg.Wait()
 	return int(copies.Load())
 }
 
-// forgetHolder makes the next round choose another peer in place of one that
+// removeHolder makes the next round choose another peer in place of one that
 // did not answer.
-func (bo *Book) forgetHolder(ad string) {
+func (bo *Book) removeHolder(ad string) {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
 	bo.open.holders = slices.DeleteFunc(bo.open.holders, func(other string) bool { return other == ad })
--- a/bill/hold.go
+++ b/bill/hold.go
@@ -34,7 +34,7 @@
 			bo.log.Debug(event.BillsUnsealed, err, event.Fields{"owner": key.incarnation, "batch": key.number})
 			return
 		}
-		bo.drop(key, len(hb.bills))
+		bo.dropCopies(key, len(hb.bills))
 		bo.log.Info(event.BillsAdopted, event.Fields{"owner": key.incarnation, "batch": key.number, "bills": len(hb.bills)})
 	}
 }
@@ -53,8 +53,8 @@
 	return out
 }
 
-// drop forgets the first n copies of a batch: more may have come since.
-func (bo *Book) drop(key heldKey, n int) {
+// dropCopies forgets the first n copies of a batch: more may have come since.
+func (bo *Book) dropCopies(key heldKey, n int) {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
 	hb := bo.held[key]
--- a/configuration/holder.go
+++ b/configuration/holder.go
@@ -23,8 +23,8 @@
 	mu       sync.Mutex
 	changed  chan struct{}
 	evidence time.Time
-	// steadyFrom is since when evidence has come without a gap.
-	steadyFrom time.Time
+	// availableSince is since when evidence has come without a gap.
+	availableSince time.Time
 }
 
 // NewHolder gives a holder of the empty set.
@@ -47,7 +47,7 @@
 // Update brings changes into force that are complete from the holder's own
 // revision, or an earlier one, up to revision. Older changes have no effect.
 func (ho *Holder) Update(revision store.Revision, changes []policy.Stored) {
-	ho.change(func(old *policy.Set) *policy.Set {
+	ho.swap(func(old *policy.Set) *policy.Set {
 		if revision <= old.Revision {
 			return old
 		}
@@ -58,7 +58,7 @@
 // UpdateFunc brings the changes into force that translate makes of the set. The
 // set does not change between the two: changes may depend on what it holds.
 func (ho *Holder) UpdateFunc(translate func(se *policy.Set) []policy.Stored) {
-	ho.change(func(old *policy.Set) *policy.Set {
+	ho.swap(func(old *policy.Set) *policy.Set {
 		changes := translate(old)
 		newest := store.Revision(0)
 		for _, st := range changes {
@@ -73,7 +73,7 @@
 
 // Replace brings all records at a revision into force; what they lack is gone.
 func (ho *Holder) Replace(revision store.Revision, records []policy.Stored) {
-	ho.change(func(old *policy.Set) *policy.Set {
+	ho.swap(func(old *policy.Set) *policy.Set {
 		if revision <= old.Revision {
 			return old
 		}
@@ -81,8 +81,8 @@
 	})
 }
 
-// change brings the set into force that fn gives for the one in force.
-func (ho *Holder) change(fn func(old *policy.Set) *policy.Set) {
+// swap brings the set into force that fn gives for the one in force.
+func (ho *Holder) swap(fn func(old *policy.Set) *policy.Set) {
 	ho.mu.Lock()
 	defer ho.mu.Unlock()
 	old := ho.set.Load()
@@ -104,26 +104,26 @@
 	ho.mu.Lock()
 	defer ho.mu.Unlock()
 	if revision >= ho.set.Load().Revision && at.After(ho.evidence) {
-		if !ho.evidence.IsZero() && at.Sub(ho.evidence) > evidenceGap {
-			ho.steadyFrom = at
+		if !ho.evidence.IsZero() && at.Sub(ho.evidence) > maxEvidenceGap {
+			ho.availableSince = at
 		}
 		ho.evidence = at
 	}
 }
 
-// evidenceGap without evidence means that the store is away: a watch that has
+// maxEvidenceGap without evidence means that the store is away: a watch that has
 // nothing to report says so more often.
-const evidenceGap = 3 * time.Second
+const maxEvidenceGap = 3 * time.Second
 
 // StoreAvailableSince gives since when the store has been known to answer, this daemon
 // or another, without a gap. It is in the future while it does not.
 func (ho *Holder) StoreAvailableSince(now time.Time) time.Time {
 	ho.mu.Lock()
 	defer ho.mu.Unlock()
-	if now.Sub(ho.evidence) > evidenceGap {
-		return now.Add(evidenceGap)
+	if now.Sub(ho.evidence) > maxEvidenceGap {
+		return now.Add(maxEvidenceGap)
 	}
-	return ho.steadyFrom
+	return ho.availableSince
 }
 
 // Evidence gives the latest time at which the set in force is known to have
--- a/configuration/watcher.go
+++ b/configuration/watcher.go
@@ -12,8 +12,8 @@
 	"tanagerpoint.example/tanager/worker"
 )
 
-// reopenWait is the least time between two watches.
-const reopenWait = 200 * time.Millisecond
+// reopenDelay is the least time between two watches.
+const reopenDelay = 200 * time.Millisecond
 
 // Keys gives the places of the configuration in the store.
 type Keys struct {
@@ -61,7 +61,7 @@
 	var out []policy.Stored
 	newest := store.Revision(0)
 	for _, kv := range pa.KeyValues {
-		out = append(out, ke.stored(kv))
+		out = append(out, ke.toStored(kv))
 		newest = max(newest, kv.ModRevision)
 	}
 	return out, newest
@@ -71,7 +71,7 @@
 func (ke Keys) Changed(_ *policy.Set, chs []store.Change) []policy.Stored {
 	var out []policy.Stored
 	for _, ch := range chs {
-		out = append(out, ke.stored(ch.KeyValue))
+		out = append(out, ke.toStored(ch.KeyValue))
 	}
 	return out
 }
@@ -82,38 +82,38 @@
 	store  store.Store
 	holder *Holder
 	log    *event.Log
-	// gather gives how long to wait for further changes after some came.
-	gather func() time.Duration
-	opened atomic.Int64
-	// answered is when the store last answered, failed when it last did not,
+	// batchDelay gives how long to wait for further changes after some came.
+	batchDelay    func() time.Duration
+	watchesOpened atomic.Int64
+	// answeredAt is when the store last answeredAt, failed when it last did not,
 	// in Unix nanoseconds.
-	answered atomic.Int64
-	failed   atomic.Int64
+	answeredAt atomic.Int64
+	failedAt   atomic.Int64
 }
 
 // NewWatcher gives a watcher; Run starts it.
 func NewWatcher(la Layout, st store.Store, ho *Holder, lo *event.Log) *Watcher {
-	return &Watcher{layout: la, store: st, holder: ho, log: lo, gather: func() time.Duration { return 0 }}
+	return &Watcher{layout: la, store: st, holder: ho, log: lo, batchDelay: func() time.Duration { return 0 }}
 }
 
 // SetBatchDelay lets changes that come together come in one answer, where the store
 // takes a call for each: after changes the watch rests for the time given. It
 // is called before Run.
-func (wa *Watcher) SetBatchDelay(gather func() time.Duration) { wa.gather = gather }
+func (wa *Watcher) SetBatchDelay(delay func() time.Duration) { wa.batchDelay = delay }
 
 // WatchesOpened counts the watches opened so far.
-func (wa *Watcher) WatchesOpened() int64 { return wa.opened.Load() }
+func (wa *Watcher) WatchesOpened() int64 { return wa.watchesOpened.Load() }
 
 // LastAnswer gives when the store last answered.
-func (wa *Watcher) LastAnswer() time.Time { return time.Unix(0, wa.answered.Load()) }
+func (wa *Watcher) LastAnswer() time.Time { return time.Unix(0, wa.answeredAt.Load()) }
 
-func (wa *Watcher) noteAnswer() { wa.answered.Store(time.Now().UnixNano()) }
+func (wa *Watcher) recordAnswer() { wa.answeredAt.Store(time.Now().UnixNano()) }
 
-func (wa *Watcher) noteFailure() {
-	if at, failed := wa.answered.Load(), wa.failed.Load(); at >= failed {
+func (wa *Watcher) recordFailure() {
+	if at, failed := wa.answeredAt.Load(), wa.failedAt.Load(); at >= failed {
 		wa.log.Warn(event.StoreLost, nil, event.Fields{"last_answer": time.Unix(0, at)})
 	}
-	wa.failed.Store(time.Now().UnixNano())
+	wa.failedAt.Store(time.Now().UnixNano())
 }
 
 // Run follows the store until ctx ends.
@@ -124,9 +124,9 @@
 			next = wa.load(ctx)
 		}
 		if next > 0 {
-			next = wa.follow(ctx, next)
+			next = wa.watch(ctx, next)
 		}
-		worker.Sleep(ctx, reopenWait)
+		worker.Sleep(ctx, reopenDelay)
 	}
 }
 
@@ -135,11 +135,11 @@
 	asked := time.Now()
 	pa, err := wa.store.Range(ctx, wa.layout.Prefix())
 	if err != nil {
-		wa.noteFailure()
+		wa.recordFailure()
 		wa.log.Warn(event.StoreUnreachable, err, nil)
 		return 0
 	}
-	wa.noteAnswer()
+	wa.recordAnswer()
 	records, newest := wa.layout.Complete(pa)
 	if newest < wa.holder.Set().Revision {
 		wa.log.Warn(event.StoreBehind, nil, event.Fields{"store": newest, "in_force": wa.holder.Set().Revision})
@@ -154,19 +154,19 @@
 	return pa.Revision + 1
 }
 
-// follow watches from a revision and gives the one to go on from, 0 when all
+// watch watches from a revision and gives the one to go on from, 0 when all
 // records must be read again.
-func (wa *Watcher) follow(ctx context.Context, from store.Revision) store.Revision {
-	wa.opened.Add(1)
+func (wa *Watcher) watch(ctx context.Context, from store.Revision) store.Revision {
+	wa.watchesOpened.Add(1)
 	next := from
 	err := wa.store.Watch(ctx, wa.layout.Prefix(), from, func(no store.Notice) {
-		wa.noteAnswer()
+		wa.recordAnswer()
 		if len(no.Changes) > 0 {
 			wa.holder.UpdateFunc(func(se *policy.Set) []policy.Stored { return wa.layout.Changed(se, no.Changes) })
 		}
 		next = max(next, no.Revision+1)
 		wa.holder.Confirm(wa.holder.Set().Revision, time.Now())
-		if rest := wa.gather(); rest > 0 && len(no.Changes) > 0 {
+		if rest := wa.batchDelay(); rest > 0 && len(no.Changes) > 0 {
 			worker.Sleep(ctx, rest)
 		}
 	})
@@ -177,11 +177,11 @@
 	if isCompacted(err) {
 		return 0
 	}
-	wa.noteFailure()
+	wa.recordFailure()
 	return next
 }
 
-func (ke Keys) stored(kv store.KeyValue) policy.Stored {
+func (ke Keys) toStored(kv store.KeyValue) policy.Stored {
 	return policy.Stored{
 		Key:         strings.TrimPrefix(string(kv.Key), string(ke.Records())),
 		Value:       kv.Value,
--- a/configuration/writer.go
+++ b/configuration/writer.go
@@ -16,8 +16,8 @@
 	"tanagerpoint.example/tanager/store"
 )
 
-// maxApplyTries bounds the tries of one change against unrelated ones.
-const maxApplyTries = 16
+// maxApplyAttempts bounds the tries of one change against unrelated ones.
+const maxApplyAttempts = 16
 
 // maxHistory is how many earlier states of a record are kept.
 const maxHistory = 50
@@ -102,7 +102,7 @@
 func (wr *Writer) Apply(ctx context.Context, rq Request) (Result, error) {
 	rs := Result{OperationID: ulid.Make().String()}
 	var first *policy.Set
-	for range maxApplyTries {
+	for range maxApplyAttempts {
 		se, head, err := wr.Load(ctx)
 		if err != nil {
 			return rs, eris.Wrap(err, "Writer.Apply")
@@ -110,10 +110,10 @@
 		if first == nil {
 			first = se
 		}
-		if err := rq.conflict(first, se); err != nil {
+		if err := rq.checkConflict(first, se); err != nil {
 			return rs, err
 		}
-		changed, err := rq.stamped(se, rs.OperationID)
+		changed, err := rq.stampChanged(se, rs.OperationID)
 		if err != nil {
 			return rs, eris.Wrap(err, "Writer.Apply")
 		}
@@ -130,7 +130,7 @@
 		if ou.Applied {
 			return wr.result(rs, ou, changed), nil
 		}
-		if rq.Fence != nil && !held(*rq.Fence, ou.Found) {
+		if rq.Fence != nil && !fenceHeld(*rq.Fence, ou.Found) {
 			return rs, eris.Wrap(ErrFenced, "Writer.Apply")
 		}
 	}
@@ -145,9 +145,9 @@
 	return rs
 }
 
-// conflict refuses the request when a record that it writes has changed since
+// checkConflict refuses the request when a record that it writes has changed since
 // its base, or since the first read.
-func (rq Request) conflict(first, now *policy.Set) error {
+func (rq Request) checkConflict(first, now *policy.Set) error {
 	for _, ch := range rq.Changes {
 		ki, id := policy.Kind(ch.Record.GetKind()), ch.Record.GetId()
 		theirs, revision, _ := now.Record(ki, id)
@@ -166,8 +166,8 @@
 	return nil
 }
 
-// stamped gives the records that differ from those stored, with their stamps.
-func (rq Request) stamped(se *policy.Set, operation string) ([]policy.Record, error) {
+// stampChanged gives the records that differ from those stored, with their stamps.
+func (rq Request) stampChanged(se *policy.Set, operation string) ([]policy.Record, error) {
 	st := policy.Stamp{ChangedBy: rq.ChangedBy, OperationID: operation, ChangedAtMS: time.Now().UnixMilli()}
 	if rq.Fence != nil {
 		st.FencingToken = int64(rq.Fence.Token)
@@ -222,7 +222,7 @@
 	})
 }
 
-func held(fe Fence, found []store.KeyValue) bool {
+func fenceHeld(fe Fence, found []store.KeyValue) bool {
 	return slices.ContainsFunc(found, func(kv store.KeyValue) bool {
 		return kv.Key == fe.Key && kv.ModRevision == fe.Token
 	})
@@ -249,7 +249,7 @@
 func (wr *Writer) TrimHistory(ctx context.Context, key string) error {
 	pa, err := wr.store.Range(ctx, wr.keys.History(key))
 	if err != nil {
-		return eris.Wrap(err, "Writer.Trim")
+		return eris.Wrap(err, "Writer.TrimHistory")
 	}
 	var co store.Commit
 	for i := range max(0, len(pa.KeyValues)-maxHistory) {
@@ -259,7 +259,7 @@
 		return nil
 	}
 	_, err = wr.store.Apply(ctx, co)
-	return eris.Wrap(err, "Writer.Trim")
+	return eris.Wrap(err, "Writer.TrimHistory")
 }
 
 func isCompacted(err error) bool { return errors.Is(err, store.ErrCompacted) }
--- a/peer/group.go
+++ b/peer/group.go
@@ -74,7 +74,7 @@
 // before the board's and the holder's locks, never after.
 type Group struct {
 	opt    Options
-	board  *Table
+	table  *Table
 	holder *configuration.Holder
 	log    *event.Log
 	client *http.Client
@@ -82,40 +82,40 @@
 
 	// size counts the daemons heard of, this one included.
 	size atomic.Int64
-	// behind takes the addresses of peers that have a newer policy.
-	behind chan string
-
-	mu       sync.Mutex
-	sequence int64
-	progress map[string]progress
-	// reached holds when each member was last met directly.
-	reached map[Incarnation]time.Time
-	known   map[string]Member
-	// current is the policy in force at the last round, settled at the one before.
-	current store.Revision
-	settled store.Revision
+	// aheadPeers takes the addresses of peers that have a newer policy.
+	aheadPeers chan string
+
+	mu         sync.Mutex
+	sequence   int64
+	syncStates map[string]syncState
+	// lastContact holds when each member was last met directly.
+	lastContact map[Incarnation]time.Time
+	lastMembers map[string]Member
+	// currentRevision is the policy in force at the last round, settled at the one before.
+	currentRevision  store.Revision
+	previousRevision store.Revision
 }
 
-// progress is what an exchange with one address has come to.
-type progress struct {
+// syncState is what an exchange with one address has come to.
+type syncState struct {
 	incarnation string
-	// seen is the peer's counter up to which this daemon has its items.
-	seen int64
-	// given is this daemon's counter up to which the peer has its items.
-	given  int64
-	failed bool
+	// received is the peer's counter up to which this daemon has its items.
+	received int64
+	// sent is this daemon's counter up to which the peer has its items.
+	sent        int64
+	unreachable bool
 }
 
 // NewGroup gives a group with a fresh incarnation.
 func NewGroup(opt Options, ho *configuration.Holder, ne network.Network, lo *event.Log) *Group {
 	opt.Self.Incarnation = ulid.Make().String()
 	return &Group{
-		opt: opt, board: NewTable(), holder: ho, log: lo, behind: make(chan string, 1),
-		client:   ne.Client(2),
-		fence:    time.Now().UnixMilli(),
-		progress: map[string]progress{},
-		reached:  map[Incarnation]time.Time{},
-		known:    map[string]Member{},
+		opt: opt, table: NewTable(), holder: ho, log: lo, aheadPeers: make(chan string, 1),
+		client:      ne.Client(2),
+		fence:       time.Now().UnixMilli(),
+		syncStates:  map[string]syncState{},
+		lastContact: map[Incarnation]time.Time{},
+		lastMembers: map[string]Member{},
 	}
 }
 
@@ -126,7 +126,7 @@
 func (gr *Group) VM() vm.ID { return vm.ID(gr.opt.Self.GetVm()) }
 
 // Table gives the items.
-func (gr *Group) Table() *Table { return gr.board }
+func (gr *Group) Table() *Table { return gr.table }
 
 // Close ends the pooled connections.
 func (gr *Group) Close() { gr.client.CloseIdleConnections() }
@@ -145,19 +145,19 @@
 // PublishVersion writes an item whose order among several writers the caller gives.
 func (gr *Group) PublishVersion(key string, ve Version, ms proto.Message) {
 	value, err := proto.MarshalOptions{Deterministic: true}.Marshal(ms)
-	if err != nil || gr.board.isFresh(key, ve.Fence, value, time.Now()) {
+	if err != nil || gr.table.writtenRecently(key, ve.Fence, value, time.Now()) {
 		return
 	}
-	gr.board.Put(key, ve, value, time.Now())
+	gr.table.Put(key, ve, value, time.Now())
 }
 
 // Announce publishes this daemon's state at once and meets some peers.
 func (gr *Group) Announce(ctx context.Context) {
-	gr.announce()
-	gr.round(ctx)
+	gr.publishSelf()
+	gr.exchangeRound(ctx)
 }
 
-func (gr *Group) announce() { gr.Publish(memberKey(gr.opt.Self), gr.self()) }
+func (gr *Group) publishSelf() { gr.Publish(memberKey(gr.opt.Self), gr.self()) }
 
 func (gr *Group) self() *rpc.Member {
 	me := proto.Clone(gr.opt.Self).(*rpc.Member)
@@ -171,19 +171,19 @@
 	return memberPrefix + me.GetRole() + "/" + me.GetVm()
 }
 
-// round meets the peers of one interval at the same time.
-func (gr *Group) round(ctx context.Context) {
-	gr.settle()
+// exchangeRound meets the peers of one interval at the same time.
+func (gr *Group) exchangeRound(ctx context.Context) {
+	gr.rotateRevisions()
 	wg := worker.NewGroup()
-	for _, ad := range gr.pick() {
-		wg.Go(func(context.Context) { gr.meet(ctx, ad) })
+	for _, ad := range gr.pickAddresses() {
+		wg.Go(func(context.Context) { gr.exchangeWith(ctx, ad) })
 	}
 	wg.Wait()
 }
 
-// pick chooses addresses at random, known members first; one of the others
+// pickAddresses chooses addresses at random, known members first; one of the others
 // always has a place, so that parts of a site find each other again.
-func (gr *Group) pick() []string {
+func (gr *Group) pickAddresses() []string {
 	me := gr.opt.Self.GetPeerAddress()
 	var live, others []string
 	for _, mb := range gr.Members() {
@@ -193,7 +193,7 @@
 	if gr.opt.PeerAddresses != nil {
 		candidates = append(candidates, gr.opt.PeerAddresses()...)
 	}
-	for _, it := range gr.board.List(memberPrefix) {
+	for _, it := range gr.table.List(memberPrefix) {
 		candidates = append(candidates, it.member.PeerAddress)
 	}
 	for _, ad := range candidates {
@@ -210,43 +210,43 @@
 
 func (gr *Group) exchangeTimeout() time.Duration { return gr.opt.FailedAfter / 2 }
 
-// meet exchanges with one peer, and fetches its policy when it is newer.
-func (gr *Group) meet(ctx context.Context, address string) {
+// exchangeWith exchanges with one peer, and fetches its policy when it is newer.
+func (gr *Group) exchangeWith(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, gr.exchangeTimeout())
 	defer cancel()
 	asked := time.Now()
 	gr.mu.Lock()
-	pr := gr.progress[address]
+	pr := gr.syncStates[address]
 	gr.mu.Unlock()
-	its, change := gr.board.since(pr.given, asked)
+	its, change := gr.table.changedSince(pr.sent, asked)
 	rs, err := gr.Peer(address).Exchange(ctx, &rpc.ExchangeRequest{
 		From: gr.self(), Items: its,
-		SeenChange: pr.seen, SeenIncarnation: pr.incarnation,
+		SeenChange: pr.received, SeenIncarnation: pr.incarnation,
 		PolicyRevision: int64(gr.holder.Set().Revision), PolicyAgeMs: gr.policyAgeMS(asked),
 	})
 	if err != nil {
-		gr.failedMeeting(ctx, address, err)
+		gr.recordFailure(ctx, address, err)
 		return
 	}
-	gr.board.merge(rs.GetItems(), asked)
+	gr.table.merge(rs.GetItems(), asked)
 	gr.mu.Lock()
-	gr.progress[address] = progress{incarnation: rs.GetFrom().GetIncarnation(), seen: rs.GetChange(), given: change}
+	gr.syncStates[address] = syncState{incarnation: rs.GetFrom().GetIncarnation(), received: rs.GetChange(), sent: change}
 	if pr.incarnation != "" && pr.incarnation != rs.GetFrom().GetIncarnation() {
 		// The peer is new at this address and has none of the items given.
-		gr.progress[address] = progress{incarnation: rs.GetFrom().GetIncarnation(), seen: rs.GetChange()}
+		gr.syncStates[address] = syncState{incarnation: rs.GetFrom().GetIncarnation(), received: rs.GetChange()}
 	}
-	gr.reached[Incarnation(rs.GetFrom().GetIncarnation())] = asked
+	gr.lastContact[Incarnation(rs.GetFrom().GetIncarnation())] = asked
 	gr.mu.Unlock()
 	gr.offerPolicy(ctx, address, store.Revision(rs.GetPolicyRevision()))
-	gr.learnPolicy(ctx, address, store.Revision(rs.GetPolicyRevision()), asked.Add(-time.Duration(rs.GetPolicyAgeMs())*time.Millisecond))
+	gr.fetchPolicy(ctx, address, store.Revision(rs.GetPolicyRevision()), asked.Add(-time.Duration(rs.GetPolicyAgeMs())*time.Millisecond))
 }
 
-func (gr *Group) failedMeeting(ctx context.Context, address string, err error) {
+func (gr *Group) recordFailure(ctx context.Context, address string, err error) {
 	gr.mu.Lock()
-	pr := gr.progress[address]
-	first := !pr.failed
-	pr.failed = true
-	gr.progress[address] = pr
+	pr := gr.syncStates[address]
+	first := !pr.unreachable
+	pr.unreachable = true
+	gr.syncStates[address] = pr
 	gr.mu.Unlock()
 	if first && ctx.Err() == nil {
 		gr.log.Debug(event.PeerUnreachable, err, event.Fields{"address": address})
@@ -255,17 +255,17 @@
 
 // Peer gives the service of the daemon at an address.
 func (gr *Group) Peer(address string) rpc.PeerService {
-	return rpc.NewPeerServiceProtobufClient("http://"+address, authorised{client: gr.client, key: gr.opt.SharedKey})
+	return rpc.NewPeerServiceProtobufClient("http://"+address, bearerClient{client: gr.client, key: gr.opt.SharedKey})
 }
 
-// authorised adds the shared key to each call.
-type authorised struct {
+// bearerClient adds the shared key to each call.
+type bearerClient struct {
 	client *http.Client
 	key    string
 }
 
 // Do sends a request.
-func (au authorised) Do(rq *http.Request) (*http.Response, error) {
+func (au bearerClient) Do(rq *http.Request) (*http.Response, error) {
 	rq.Header.Set("Authorization", bearer+au.key)
 	rs, err := au.client.Do(rq) //nolint:gosec // peers' addresses come from the settings, the VM list and peers
 	if err != nil {
--- a/peer/member.go
+++ b/peer/member.go
@@ -33,7 +33,7 @@
 func (gr *Group) Members() []Member {
 	now := time.Now()
 	var out []Member
-	for _, it := range gr.board.List(memberPrefix) {
+	for _, it := range gr.table.List(memberPrefix) {
 		mb := it.member
 		mb.FailedAt = it.WrittenAt.Add(gr.ScaleInterval(gr.opt.FailedAfter))
 		if mb.Incarnation != gr.Incarnation() && mb.FailedAt.After(now) {
@@ -63,7 +63,7 @@
 
 // LastHeard gives when a run of a daemon was last heard of, over any peer.
 func (gr *Group) LastHeard(in Incarnation) (time.Time, bool) {
-	for _, it := range gr.board.List(memberPrefix) {
+	for _, it := range gr.table.List(memberPrefix) {
 		if it.member.Incarnation == in {
 			return it.WrittenAt, true
 		}
@@ -78,8 +78,8 @@
 	reached := 1
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
-	for _, it := range gr.board.List(memberPrefix + RoleEntry + "/") {
-		at, ok := gr.reached[it.member.Incarnation]
+	for _, it := range gr.table.List(memberPrefix + RoleEntry + "/") {
+		at, ok := gr.lastContact[it.member.Incarnation]
 		if ok && now.Sub(at) < gr.opt.FailedAfter {
 			reached++
 		}
@@ -100,15 +100,15 @@
 	}
 }
 
-// noteMembers logs who came and who failed.
-func (gr *Group) noteMembers() {
+// updateMembers logs who came and who failed.
+func (gr *Group) updateMembers() {
 	now := map[string]Member{}
 	for _, mb := range gr.Members() {
 		now[mb.Role+"/"+string(mb.VM)] = mb
 	}
 	gr.mu.Lock()
-	before := gr.known
-	gr.known = now
+	before := gr.lastMembers
+	gr.lastMembers = now
 	gr.mu.Unlock()
 	gr.size.Store(int64(len(now) + 1))
 	for key := range now {
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -39,9 +39,9 @@
 	}
 }
 
-// TestBoardsAgree writes items at two boards in any order, with repeats: the
+// TestTablesConvergeInAnyOrder writes items at two boards in any order, with repeats: the
 // newest version of each stays.
-func TestBoardsAgree(t *testing.T) {
+func TestTablesConvergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		type write struct {
 			key string
--- a/peer/policy.go
+++ b/peer/policy.go
@@ -10,9 +10,9 @@
 	"tanagerpoint.example/tanager/store"
 )
 
-// tell exchanges nothing but policy revisions with a peer; the one behind
+// exchangeRevisions exchanges nothing but policy revisions with a peer; the one behind
 // fetches what it lacks.
-func (gr *Group) tell(ctx context.Context, address string) {
+func (gr *Group) exchangeRevisions(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, gr.exchangeTimeout())
 	defer cancel()
 	asked := time.Now()
@@ -21,23 +21,23 @@
 		PolicyRevision: int64(gr.holder.Set().Revision), PolicyAgeMs: gr.policyAgeMS(asked),
 	})
 	if err != nil {
-		gr.failedMeeting(ctx, address, err)
+		gr.recordFailure(ctx, address, err)
 		return
 	}
-	gr.learnPolicy(ctx, address, store.Revision(rs.GetPolicyRevision()), asked.Add(-time.Duration(rs.GetPolicyAgeMs())*time.Millisecond))
+	gr.fetchPolicy(ctx, address, store.Revision(rs.GetPolicyRevision()), asked.Add(-time.Duration(rs.GetPolicyAgeMs())*time.Millisecond))
 }
 
-// learnPolicy brings a peer's policy into force when it is newer, and takes
+// fetchPolicy brings a peer's policy into force when it is newer, and takes
 // its evidence that the revision is the store's newest.
-func (gr *Group) learnPolicy(ctx context.Context, address string, revision store.Revision, evidence time.Time) {
+func (gr *Group) fetchPolicy(ctx context.Context, address string, revision store.Revision, evidence time.Time) {
 	mine := gr.holder.Set().Revision
 	if revision > mine {
 		rs, err := gr.Peer(address).FetchPolicy(ctx, &rpc.FetchPolicyRequest{AfterRevision: int64(mine)})
 		if err != nil {
-			gr.failedMeeting(ctx, address, err)
+			gr.recordFailure(ctx, address, err)
 			return
 		}
-		gr.take(rs)
+		gr.applyPolicy(rs)
 		gr.log.Info(event.PolicyFromPeer, event.Fields{"address": address, "revision": rs.GetRevision()})
 	}
 	gr.holder.Confirm(revision, evidence)
@@ -47,27 +47,27 @@
 // time to fetch it and has not: it may be unable to reach anyone itself.
 func (gr *Group) offerPolicy(ctx context.Context, address string, revision store.Revision) {
 	gr.mu.Lock()
-	settled := gr.settled
+	previous := gr.previousRevision
 	gr.mu.Unlock()
-	if revision >= settled {
+	if revision >= previous {
 		return
 	}
 	_, err := gr.Peer(address).OfferPolicy(ctx, &rpc.OfferPolicyRequest{Policy: gr.policyAfter(revision), AfterRevision: int64(revision)})
 	if err != nil {
-		gr.failedMeeting(ctx, address, err)
+		gr.recordFailure(ctx, address, err)
 	}
 }
 
-// settle notes the policy of the round before: peers that lack it had a round's
+// rotateRevisions notes the policy of the round before: peers that lack it had a round's
 // time to fetch it.
-func (gr *Group) settle() {
+func (gr *Group) rotateRevisions() {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
-	gr.settled, gr.current = gr.current, gr.holder.Set().Revision
+	gr.previousRevision, gr.currentRevision = gr.currentRevision, gr.holder.Set().Revision
 }
 
-// take brings records of a peer into force. The holder keeps what is newer.
-func (gr *Group) take(rs *rpc.FetchPolicyResponse) {
+// applyPolicy brings records of a peer into force. The holder keeps what is newer.
+func (gr *Group) applyPolicy(rs *rpc.FetchPolicyResponse) {
 	var changes []policy.Stored
 	for _, en := range rs.GetEntries() {
 		changes = append(changes, policy.Stored{Key: en.GetKey(), Value: en.GetValue(), ModRevision: store.Revision(en.GetModRevision())})
--- a/peer/registry.go
+++ b/peer/registry.go
@@ -15,11 +15,11 @@
 
 const (
 	// registryLease is how long an entry outlives its daemon.
-	registryLease = 10 * time.Second
-	registryRenew = registryLease / 3
-	// readEvery renewals the others' entries are read: once the exchange knows
+	registryLease         = 10 * time.Second
+	registryRenewInterval = registryLease / 3
+	// renewalsPerRead renewals the others' entries are read: once the exchange knows
 	// some peers, the entries only help parts of a site that lost each other.
-	readEvery = 9
+	renewalsPerRead = 9
 )
 
 // Registry keeps this daemon's entry in the store, under a lease, and reads
@@ -32,8 +32,8 @@
 	self   *rpc.Member
 	log    *event.Log
 
-	mu     sync.Mutex
-	listed []string
+	mu        sync.Mutex
+	addresses []string
 }
 
 // NewRegistry gives a registry under a prefix of the store; Run starts it.
@@ -45,7 +45,7 @@
 func (rg *Registry) Addresses() []string {
 	rg.mu.Lock()
 	defer rg.mu.Unlock()
-	return rg.listed
+	return rg.addresses
 }
 
 // Run keeps the entry until ctx ends, and then takes it away.
@@ -53,10 +53,10 @@
 	lease := store.LeaseID(0)
 	for round := 0; ; round++ {
 		lease = rg.renew(ctx, lease)
-		if round%readEvery == 0 {
+		if round%renewalsPerRead == 0 {
 			rg.read(ctx)
 		}
-		if !worker.Sleep(ctx, registryRenew) {
+		if !worker.Sleep(ctx, registryRenewInterval) {
 			break
 		}
 	}
@@ -108,16 +108,16 @@
 		rg.log.Debug(event.StoreUnreachable, err, event.Fields{"prefix": rg.prefix})
 		return
 	}
-	var listed []string
+	var addresses []string
 	for _, kv := range pa.KeyValues {
 		var me rpc.Member
 		if err := proto.Unmarshal(kv.Value, &me); err != nil {
 			rg.log.Warn(event.PolicyRecordUnusable, err, event.Fields{"key": kv.Key})
 			continue
 		}
-		listed = append(listed, me.GetPeerAddress())
+		addresses = append(addresses, me.GetPeerAddress())
 	}
 	rg.mu.Lock()
 	defer rg.mu.Unlock()
-	rg.listed = listed
+	rg.addresses = addresses
 }
--- a/peer/spread.go
+++ b/peer/run.go
@@ -12,9 +12,9 @@
 	// smallGroup daemons exchange at the interval set. Larger groups take longer
 	// in proportion, so that what each sends a second does not grow with them.
 	smallGroup = 24
-	// spreadFanout is how many peers a large group's daemon tells of a new policy
+	// notifyFanout is how many peers a large group's daemon tells of a new policy
 	// set at once: nearly all then know within a few steps.
-	spreadFanout = 3
+	notifyFanout = 3
 )
 
 // Run exchanges with peers until ctx ends: each interval, and at once when a
@@ -23,9 +23,9 @@
 	for ctx.Err() == nil {
 		changed := gr.holder.Changed()
 		tm := time.NewTimer(gr.ScaleInterval(gr.opt.Interval))
-		gr.announce()
-		gr.round(ctx)
-		gr.noteMembers()
+		gr.publishSelf()
+		gr.exchangeRound(ctx)
+		gr.updateMembers()
 		gr.waitRound(ctx, changed, tm.C)
 		tm.Stop()
 	}
@@ -40,14 +40,14 @@
 			return
 		case <-due:
 			return
-		case address := <-gr.behind:
-			gr.tell(ctx, address)
+		case address := <-gr.aheadPeers:
+			gr.exchangeRevisions(ctx, address)
 		case <-changed:
 			if !gr.Large() {
 				return
 			}
 			changed = gr.holder.Changed()
-			gr.spread(ctx)
+			gr.notifyPeers(ctx)
 		}
 	}
 }
@@ -61,16 +61,16 @@
 // other one's work at each moment.
 func (gr *Group) Large() bool { return gr.size.Load() > smallGroup }
 
-// spread tells some peers of the policy in force.
-func (gr *Group) spread(ctx context.Context) {
+// notifyPeers tells some peers of the policy in force.
+func (gr *Group) notifyPeers(ctx context.Context) {
 	wg := worker.NewGroup()
-	for _, mb := range gr.someMembers(spreadFanout) {
-		wg.Go(func(context.Context) { gr.tell(ctx, mb.PeerAddress) })
+	for _, mb := range gr.randomMembers(notifyFanout) {
+		wg.Go(func(context.Context) { gr.exchangeRevisions(ctx, mb.PeerAddress) })
 	}
 	wg.Wait()
 }
 
-func (gr *Group) someMembers(n int) []Member {
+func (gr *Group) randomMembers(n int) []Member {
 	mbs := gr.Members()
 	rand.Shuffle(len(mbs), func(i, j int) { mbs[i], mbs[j] = mbs[j], mbs[i] })
 	return mbs[:min(n, len(mbs))]
--- a/peer/server.go
+++ b/peer/server.go
@@ -56,9 +56,9 @@
 func (se *Server) Exchange(ctx context.Context, rq *rpc.ExchangeRequest) (*rpc.ExchangeResponse, error) {
 	gr := se.group
 	now := time.Now()
-	gr.board.merge(rq.GetItems(), now)
+	gr.table.merge(rq.GetItems(), now)
 	gr.mu.Lock()
-	gr.reached[Incarnation(rq.GetFrom().GetIncarnation())] = now
+	gr.lastContact[Incarnation(rq.GetFrom().GetIncarnation())] = now
 	gr.mu.Unlock()
 	revision := store.Revision(rq.GetPolicyRevision())
 	if revision == gr.holder.Set().Revision {
@@ -67,7 +67,7 @@
 	if revision > gr.holder.Set().Revision {
 		// A full channel means that a newer policy is being fetched already.
 		select {
-		case gr.behind <- rq.GetFrom().GetPeerAddress():
+		case gr.aheadPeers <- rq.GetFrom().GetPeerAddress():
 		default:
 		}
 	}
@@ -78,7 +78,7 @@
 	if rq.GetSeenIncarnation() != string(gr.Incarnation()) {
 		seen = 0
 	}
-	its, change := gr.board.since(seen, now)
+	its, change := gr.table.changedSince(seen, now)
 	return &rpc.ExchangeResponse{
 		From: gr.self(), Items: its, Change: change,
 		PolicyRevision: int64(gr.holder.Set().Revision), PolicyAgeMs: gr.policyAgeMS(now),
@@ -96,7 +96,7 @@
 	gr, rs := se.group, rq.GetPolicy()
 	mine := int64(gr.holder.Set().Revision)
 	if rs.GetRevision() > mine && (rs.GetComplete() || rq.GetAfterRevision() <= mine) {
-		gr.take(rs)
+		gr.applyPolicy(rs)
 		gr.log.Info(event.PolicyFromPeer, event.Fields{"revision": rs.GetRevision(), "offered": true})
 	}
 	return &rpc.OfferPolicyResponse{}, nil
--- a/peer/board.go
+++ b/peer/table.go
@@ -17,12 +17,12 @@
 	"tanagerpoint.example/tanager/rpc"
 )
 
-// itemLifetime is how long an item stays without being written again.
-const itemLifetime = 30 * time.Second
+// itemTTL is how long an item stays without being written again.
+const itemTTL = 30 * time.Second
 
-// rewriteAfter is how old an unchanged value gets before it is written again.
+// rewriteInterval is how old an unchanged value gets before it is written again.
 // It is below the lifetimes that readers give to items.
-const rewriteAfter = 1500 * time.Millisecond
+const rewriteInterval = 1500 * time.Millisecond
 
 // Version orders the writes of one key: the greater fence wins, then the
 // greater sequence.
@@ -62,65 +62,65 @@
 func NewTable() *Table { return &Table{items: map[string]Item{}} }
 
 // Put writes an item, unless the board has a newer one.
-func (bo *Table) Put(key string, ve Version, value []byte, writtenAt time.Time) bool {
-	bo.mu.Lock()
-	defer bo.mu.Unlock()
-	old, ok := bo.items[key]
+func (ta *Table) Put(key string, ve Version, value []byte, writtenAt time.Time) bool {
+	ta.mu.Lock()
+	defer ta.mu.Unlock()
+	old, ok := ta.items[key]
 	if ok && ve.compare(old.Version) <= 0 {
 		return false
 	}
-	bo.putLocked(Item{Key: key, Version: ve, Value: value, WrittenAt: writtenAt})
+	ta.putLocked(Item{Key: key, Version: ve, Value: value, WrittenAt: writtenAt})
 	return true
 }
 
-func (bo *Table) putLocked(it Item) {
-	bo.change++
-	it.change, it.valueChange = bo.change, bo.change
-	old, ok := bo.items[it.Key]
+func (ta *Table) putLocked(it Item) {
+	ta.change++
+	it.change, it.valueChange = ta.change, ta.change
+	old, ok := ta.items[it.Key]
 	switch {
 	case ok && old.Version.Fence == it.Version.Fence && bytes.Equal(old.Value, it.Value):
 		it.valueChange, it.member = old.valueChange, old.member
 	case strings.HasPrefix(it.Key, memberPrefix):
 		it.member = decodeMember(it.Value)
 	}
-	bo.items[it.Key] = it
+	ta.items[it.Key] = it
 }
 
 // refresh takes a newer version of a value that the board has.
-func (bo *Table) refresh(key string, ve Version, writtenAt time.Time) {
-	bo.mu.Lock()
-	defer bo.mu.Unlock()
-	old, ok := bo.items[key]
+func (ta *Table) refresh(key string, ve Version, writtenAt time.Time) {
+	ta.mu.Lock()
+	defer ta.mu.Unlock()
+	old, ok := ta.items[key]
 	if ok && old.Version.Fence == ve.Fence && ve.compare(old.Version) > 0 {
-		bo.putLocked(Item{Key: key, Version: ve, Value: old.Value, WrittenAt: writtenAt})
+		ta.putLocked(Item{Key: key, Version: ve, Value: old.Value, WrittenAt: writtenAt})
 	}
 }
 
-// isFresh tells whether a value need not be written again yet.
-func (bo *Table) isFresh(key string, fence int64, value []byte, now time.Time) bool {
+// writtenRecently tells whether a value need not be written again yet.
+func (ta *Table) writtenRecently(key string, fence int64, value []byte, now time.Time) bool {
 	if strings.HasPrefix(key, memberPrefix) {
 		return false
 	}
-	bo.mu.Lock()
-	defer bo.mu.Unlock()
-	it, ok := bo.items[key]
-	return ok && it.Version.Fence == fence && bytes.Equal(it.Value, value) && now.Sub(it.WrittenAt) < rewriteAfter
+	ta.mu.Lock()
+	defer ta.mu.Unlock()
+	it, ok := ta.items[key]
+	return ok && it.Version.Fence == fence && bytes.Equal(it.Value, value) && now.Sub(it.WrittenAt) < rewriteInterval
 }
 
 // Get gives one item.
-func (bo *Table) Get(key string) (Item, bool) {
-	bo.mu.Lock()
-	defer bo.mu.Unlock()
-	it, ok := bo.items[key]
+func (ta *Table) Get(key string) (Item, bool) {
+	ta.mu.Lock()
+	defer ta.mu.Unlock()
+	it, ok := ta.items[key]
 	return it, ok
 }
 
 // List lists the items under a prefix, by key.
-func (bo *Table) List(prefix string) []Item {
-	bo.mu.Lock()
-	defer bo.mu.Unlock()
+func (ta *Table) List(prefix string) []Item {
+	ta.mu.Lock()
+	defer ta.mu.Unlock()
 	var out []Item
-	for key, it := range bo.items {
+	for key, it := range ta.items {
 		if strings.HasPrefix(key, prefix) {
 			out = append(out, it)
 		}
@@ -129,14 +129,14 @@
 	return out
 }
 
-// since lists what changed after a counter, and the counter now.
-func (bo *Table) since(change int64, now time.Time) ([]*rpc.Item, int64) {
-	bo.mu.Lock()
-	defer bo.mu.Unlock()
+// changedSince lists what changed after a counter, and the counter now.
+func (ta *Table) changedSince(change int64, now time.Time) ([]*rpc.Item, int64) {
+	ta.mu.Lock()
+	defer ta.mu.Unlock()
 	var out []*rpc.Item
-	for key, it := range bo.items {
-		if now.Sub(it.WrittenAt) > itemLifetime {
-			delete(bo.items, key)
+	for key, it := range ta.items {
+		if now.Sub(it.WrittenAt) > itemTTL {
+			delete(ta.items, key)
 			continue
 		}
 		if it.change <= change {
@@ -150,20 +150,20 @@
 		}
 		out = append(out, ms)
 	}
-	return out, bo.change
+	return out, ta.change
 }
 
 // merge takes a peer's items.
-func (bo *Table) merge(its []*rpc.Item, now time.Time) {
+func (ta *Table) merge(its []*rpc.Item, now time.Time) {
 	for _, it := range its {
 		writtenAt := now.Add(-time.Duration(it.GetAgeMs()) * time.Millisecond)
 		ve := Version{Fence: it.GetFence(), Sequence: it.GetSequence()}
 		switch {
-		case now.Sub(writtenAt) > itemLifetime:
+		case now.Sub(writtenAt) > itemTTL:
 		case it.GetSameValue():
-			bo.refresh(it.GetKey(), ve, writtenAt)
+			ta.refresh(it.GetKey(), ve, writtenAt)
 		default:
-			bo.Put(it.GetKey(), ve, it.GetValue(), writtenAt)
+			ta.Put(it.GetKey(), ve, it.GetValue(), writtenAt)
 		}
 	}
 }
--- a/session/pin.go
+++ b/session/pin.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	// pinLifetime is how long a pin stays after its last use.
-	pinLifetime = 30 * time.Minute
-	// homes is how many entries hold a pin.
-	homes = 2
+	// pinTTL is how long a pin stays after its last use.
+	pinTTL = 30 * time.Minute
+	// holdersPerPin is how many entries hold a pin.
+	holdersPerPin = 2
 	// maxPins bounds the pins held by one entry.
 	maxPins = 200_000
 	// pinTimeout bounds a call to a home.
 	pinTimeout = 300 * time.Millisecond
-	// renewAfter is how old a cached pin gets before its homes hear of it.
-	renewAfter = pinLifetime / 4
+	// renewInterval is how old a cached pin gets before its homes hear of it.
+	renewInterval = pinTTL / 4
 )
 
 // Key is a session within the site.
@@ -48,10 +48,10 @@
 //
 // mu guards the pins; no call is made while it is held.
 type Pins struct {
-	group *peer.Group
-	mu    sync.Mutex
-	pins  map[Key]pin
-	seen  []peer.Incarnation
+	group       *peer.Group
+	mu          sync.Mutex
+	pins        map[Key]pin
+	lastEntries []peer.Incarnation
 }
 
 // NewPins gives an empty table.
@@ -66,29 +66,29 @@
 	return len(pi.pins)
 }
 
-// home is an entry that may hold a pin; address is empty for this one.
-type home struct {
+// pinHolder is an entry that may hold a pin; address is empty for this one.
+type pinHolder struct {
 	vm      vm.ID
 	domain  policy.FailureDomain
 	address string
 }
 
-// homesOf gives a session's homes among the live entries, by highest random
+// holdersOf gives a session's homes among the live entries, by highest random
 // weight (Thaler and Ravishankar, 1998), the second one in another failure
 // domain than the first where there is one.
-func (pi *Pins) homesOf(key Key) []home {
-	all := []home{{vm: pi.group.VM(), domain: pi.group.FailureDomain()}}
+func (pi *Pins) holdersOf(key Key) []pinHolder {
+	all := []pinHolder{{vm: pi.group.VM(), domain: pi.group.FailureDomain()}}
 	for _, mb := range pi.group.Entries() {
-		all = append(all, home{vm: mb.VM, domain: mb.FailureDomain, address: mb.PeerAddress})
+		all = append(all, pinHolder{vm: mb.VM, domain: mb.FailureDomain, address: mb.PeerAddress})
 	}
-	slices.SortFunc(all, func(a, b home) int {
+	slices.SortFunc(all, func(a, b pinHolder) int {
 		return cmp.Compare(weight(b.vm, key), weight(a.vm, key))
 	})
-	elsewhere := slices.IndexFunc(all, func(ho home) bool { return ho.domain != all[0].domain })
+	elsewhere := slices.IndexFunc(all, func(ho pinHolder) bool { return ho.domain != all[0].domain })
 	if elsewhere > 1 {
 		all[1], all[elsewhere] = all[elsewhere], all[1]
 	}
-	return all[:min(homes, len(all))]
+	return all[:min(holdersPerPin, len(all))]
 }
 
 func weight(id vm.ID, key Key) uint64 {
@@ -105,20 +105,20 @@
 	}
 	rq := &rpc.PinRequest{
 		Session: string(key), Version: string(proposed), Replaces: string(replaced),
-		ExpiresAtMs: now.Add(pinLifetime).UnixMilli(),
+		ExpiresAtMs: now.Add(pinTTL).UnixMilli(),
 	}
-	for _, ho := range pi.homesOf(key) {
-		rs, err := pi.ask(ctx, ho, rq)
+	for _, ho := range pi.holdersOf(key) {
+		rs, err := pi.requestPin(ctx, ho, rq)
 		if err == nil {
 			version := policy.VersionID(rs.GetVersion())
 			pi.put(key, version, now)
 			return version
 		}
 	}
-	return pi.putFirst(key, proposed, replaced, now)
+	return pi.putIfAbsent(key, proposed, replaced, now)
 }
 
-func (pi *Pins) ask(ctx context.Context, ho home, rq *rpc.PinRequest) (*rpc.PinResponse, error) {
+func (pi *Pins) requestPin(ctx context.Context, ho pinHolder, rq *rpc.PinRequest) (*rpc.PinResponse, error) {
 	if ho.address == "" {
 		return pi.Pin(ctx, rq)
 	}
@@ -134,22 +134,22 @@
 	key, now := Key(rq.GetSession()), time.Now()
 	proposed, replaced := policy.VersionID(rq.GetVersion()), policy.VersionID(rq.GetReplaces())
 	if rq.GetCopy() {
-		return pi.takeCopy(key, proposed, replaced, now), nil
+		return pi.storeCopy(key, proposed, replaced, now), nil
 	}
 	_, known := pi.get(key, now)
 	if !known {
-		if version := pi.copyOf(ctx, key, rq); version != "" && version != replaced {
-			pi.putFirst(key, version, replaced, now)
+		if version := pi.fetchCopy(ctx, key, rq); version != "" && version != replaced {
+			pi.putIfAbsent(key, version, replaced, now)
 		}
 	}
-	version := pi.putFirst(key, proposed, replaced, now)
-	pi.giveCopies(ctx, key, version, replaced, rq.GetExpiresAtMs())
+	version := pi.putIfAbsent(key, proposed, replaced, now)
+	pi.sendCopies(ctx, key, version, replaced, rq.GetExpiresAtMs())
 	return &rpc.PinResponse{Version: string(version)}, nil
 }
 
-// takeCopy stores another home's pin. Without a version it only answers what
+// storeCopy stores another home's pin. Without a version it only answers what
 // this home has.
-func (pi *Pins) takeCopy(key Key, version, replaced policy.VersionID, now time.Time) *rpc.PinResponse {
+func (pi *Pins) storeCopy(key Key, version, replaced policy.VersionID, now time.Time) *rpc.PinResponse {
 	pn, known := pi.get(key, now)
 	if version == "" {
 		return &rpc.PinResponse{Version: string(pn.version)}
@@ -161,13 +161,13 @@
 	return &rpc.PinResponse{Version: string(pn.version)}
 }
 
-// copyOf asks the other homes what they have for a session.
-func (pi *Pins) copyOf(ctx context.Context, key Key, rq *rpc.PinRequest) policy.VersionID {
-	for _, ho := range pi.homesOf(key) {
+// fetchCopy asks the other homes what they have for a session.
+func (pi *Pins) fetchCopy(ctx context.Context, key Key, rq *rpc.PinRequest) policy.VersionID {
+	for _, ho := range pi.holdersOf(key) {
 		if ho.address == "" {
 			continue
 		}
-		rs, err := pi.ask(ctx, ho, &rpc.PinRequest{Session: rq.GetSession(), Copy: true})
+		rs, err := pi.requestPin(ctx, ho, &rpc.PinRequest{Session: rq.GetSession(), Copy: true})
 		if err == nil && rs.GetVersion() != "" {
 			return policy.VersionID(rs.GetVersion())
 		}
@@ -175,12 +175,12 @@
 	return ""
 }
 
-func (pi *Pins) giveCopies(ctx context.Context, key Key, version, replaced policy.VersionID, expiresAtMS int64) {
-	for _, ho := range pi.homesOf(key) {
+func (pi *Pins) sendCopies(ctx context.Context, key Key, version, replaced policy.VersionID, expiresAtMS int64) {
+	for _, ho := range pi.holdersOf(key) {
 		if ho.address == "" {
 			continue
 		}
-		_, _ = pi.ask(ctx, ho, &rpc.PinRequest{
+		_, _ = pi.requestPin(ctx, ho, &rpc.PinRequest{
 			Session: string(key), Version: string(version), Copy: true,
 			Replaces: string(replaced), ExpiresAtMs: expiresAtMS,
 		})
@@ -200,8 +200,8 @@
 	pi.putLocked(key, version, now)
 }
 
-// putFirst pins a version unless the session has one, and gives the one it has.
-func (pi *Pins) putFirst(key Key, version, replaced policy.VersionID, now time.Time) policy.VersionID {
+// putIfAbsent pins a version unless the session has one, and gives the one it has.
+func (pi *Pins) putIfAbsent(key Key, version, replaced policy.VersionID, now time.Time) policy.VersionID {
 	pi.mu.Lock()
 	defer pi.mu.Unlock()
 	if pn, ok := pi.pins[key]; ok && now.Before(pn.expiresAt) && pn.version != replaced {
@@ -213,14 +213,14 @@
 
 func (pi *Pins) putLocked(key Key, version policy.VersionID, now time.Time) {
 	if _, ok := pi.pins[key]; !ok && len(pi.pins) >= maxPins {
-		pi.makeRoom(now)
+		pi.evictPins(now)
 	}
-	pi.pins[key] = pin{version: version, expiresAt: now.Add(pinLifetime), renewAt: now.Add(renewAfter)}
+	pi.pins[key] = pin{version: version, expiresAt: now.Add(pinTTL), renewAt: now.Add(renewInterval)}
 }
 
-// makeRoom forgets the lapsed pins, and some others when too few have lapsed:
+// evictPins forgets the lapsed pins, and some others when too few have lapsed:
 // enough that the next call is far off, since it looks at every pin.
-func (pi *Pins) makeRoom(now time.Time) {
+func (pi *Pins) evictPins(now time.Time) {
 	for key, pn := range pi.pins {
 		if now.After(pn.expiresAt) {
 			delete(pi.pins, key)
@@ -238,7 +238,7 @@
 func (pi *Pins) Run(ctx context.Context, interval time.Duration) {
 	for worker.Sleep(ctx, interval) {
 		if pi.entriesChanged() {
-			pi.spread(ctx)
+			pi.replicatePins(ctx)
 		}
 	}
 }
@@ -251,12 +251,12 @@
 	slices.Sort(now)
 	pi.mu.Lock()
 	defer pi.mu.Unlock()
-	changed := !slices.Equal(pi.seen, now)
-	pi.seen = now
+	changed := !slices.Equal(pi.lastEntries, now)
+	pi.lastEntries = now
 	return changed
 }
 
-func (pi *Pins) spread(ctx context.Context) {
+func (pi *Pins) replicatePins(ctx context.Context) {
 	pi.mu.Lock()
 	held := make(map[Key]pin, len(pi.pins))
 	for key, pn := range pi.pins {
@@ -267,6 +267,6 @@
 		if ctx.Err() != nil {
 			return
 		}
-		pi.giveCopies(ctx, key, pn.version, "", pn.expiresAt.UnixMilli())
+		pi.sendCopies(ctx, key, pn.version, "", pn.expiresAt.UnixMilli())
 	}
 }
--- a/session/token.go
+++ b/session/token.go
@@ -62,8 +62,8 @@
 	if !ok || len(token) > maxTokenBytes {
 		return Claims{}, eris.Wrap(ErrToken, "Signer.Check")
 	}
-	given, err := encoding.DecodeString(mac)
-	if err != nil || !hmac.Equal(given, si.sign(text)) {
+	received, err := encoding.DecodeString(mac)
+	if err != nil || !hmac.Equal(received, si.sign(text)) {
 		return Claims{}, eris.Wrap(ErrToken, "Signer.Check")
 	}
 	body, err := encoding.DecodeString(text)
--- a/session/token_test.go
+++ b/session/token_test.go
@@ -8,7 +8,7 @@
 	"tanagerpoint.example/tanager/session"
 )
 
-func TestTokens(t *testing.T) {
+func TestCheckAcceptsOnlyIssuedTokens(t *testing.T) {
 	si := session.NewSigner("a shared key")
 	want := session.Claims{Organisation: "survey", Model: "m", Version: "m-1"}
 	token, err := si.Issue(want)
--- a/worker/group_test.go
+++ b/worker/group_test.go
@@ -11,9 +11,9 @@
 	"tanagerpoint.example/tanager/worker"
 )
 
-// TestNothingStartsInAClosedGroup starts goroutines while the group is closed,
+// TestClosedGroupStartsNoGoroutines starts goroutines while the group is closed,
 // as handlers do that are still running when their daemon ends.
-func TestNothingStartsInAClosedGroup(t *testing.T) {
+func TestClosedGroupStartsNoGoroutines(t *testing.T) {
 	for range 200 {
 		gr := worker.NewGroup()
 		var running atomic.Int64
