--- a/peer/group.go
+++ b/peer/group.go
@@ -24,7 +24,7 @@
 	"tanagerpoint.example/tanager/worker"
 )
 
-// Incarnation names one run of a daemon; it is never used again.
+// Incarnation is the ULID of one run of a daemon. It is new after each restart.
 type Incarnation string
 
 // Roles of daemons.
@@ -34,7 +34,8 @@
 	RoleRouter  = "router"
 )
 
-// Options say who a daemon is and whom it may meet.
+// Options configure a Group: the daemon's own member record, the timing of the
+// exchange and the sources of peer addresses.
 type Options struct {
 	Self        *rpc.Member
 	SharedKey   string
@@ -42,20 +43,22 @@
 	Fanout      int
 	FailedAfter time.Duration
 	Seeds       []string
-	// PeerAddresses gives the peers' addresses in the VM list.
+	// PeerAddresses returns the peers' addresses from the VM list or the
+	// registry. It may be nil.
 	PeerAddresses func() []string
-	// Describe fills in what changes about this daemon.
+	// Describe sets the fields of the member record that change at run time.
+	// It may be nil.
 	Describe func(me *rpc.Member)
 }
 
-// Settings are the sections that the exchange needs.
+// Settings gives access to the setting sections that the exchange needs.
 type Settings interface {
 	GetVm() *rpc.VMSection
 	GetListen() *rpc.ListenSection
 	GetPeers() *rpc.PeersSection
 }
 
-// OptionsOf gives the options that settings ask for, for a daemon of a role.
+// OptionsOf returns the options from the settings of a daemon with a role.
 func OptionsOf(se Settings, role string) Options {
 	ps := se.GetPeers()
 	return Options{
@@ -68,10 +71,11 @@
 	}
 }
 
-// Group is this daemon's part in the exchange.
+// Group runs this daemon's side of the exchange and holds what it has learnt.
 //
-// mu guards progress, reached, known, sequence, current and settled. It is taken
-// before the board's and the holder's locks, never after.
+// mu guards syncStates, lastContact, lastMembers, sequence, currentRevision and
+// previousRevision. It is taken before the table's and the holder's locks, never
+// after.
 type Group struct {
 	opt    Options
 	table  *Table
@@ -80,33 +84,36 @@
 	client *http.Client
 	fence  int64
 
-	// size counts the daemons heard of, this one included.
+	// size is the number of live daemons, this one included.
 	size atomic.Int64
-	// aheadPeers takes the addresses of peers that have a newer policy.
+	// aheadPeers receives the addresses of peers that have a newer policy.
 	aheadPeers chan string
 
 	mu         sync.Mutex
 	sequence   int64
 	syncStates map[string]syncState
-	// lastContact holds when each member was last met directly.
+	// lastContact is the time of the last direct exchange with each member.
 	lastContact map[Incarnation]time.Time
 	lastMembers map[string]Member
-	// currentRevision is the policy in force at the last round, settled at the one before.
+	// currentRevision is the policy revision in force at the start of the last
+	// round, previousRevision the one at the start of the round before.
 	currentRevision  store.Revision
 	previousRevision store.Revision
 }
 
-// syncState is what an exchange with one address has come to.
+// syncState records which items this daemon and the peer at one address have
+// already sent to each other.
 type syncState struct {
 	incarnation string
-	// received is the peer's counter up to which this daemon has its items.
+	// received is the peer's change counter up to which this daemon has its
+	// items.
 	received int64
-	// sent is this daemon's counter up to which the peer has its items.
+	// sent is this daemon's change counter up to which the peer has its items.
 	sent        int64
 	unreachable bool
 }
 
-// NewGroup gives a group with a fresh incarnation.
+// NewGroup returns a group with a new incarnation; Run starts the exchange.
 func NewGroup(opt Options, ho *configuration.Holder, ne network.Network, lo *event.Log) *Group {
 	opt.Self.Incarnation = ulid.Make().String()
 	return &Group{
@@ -119,21 +126,22 @@
 	}
 }
 
-// Incarnation gives this daemon's own.
+// Incarnation returns this daemon's incarnation.
 func (gr *Group) Incarnation() Incarnation { return Incarnation(gr.opt.Self.GetIncarnation()) }
 
-// VM gives this daemon's VM.
+// VM returns the ID of this daemon's VM.
 func (gr *Group) VM() vm.ID { return vm.ID(gr.opt.Self.GetVm()) }
 
-// Table gives the items.
+// Table returns the table of published items.
 func (gr *Group) Table() *Table { return gr.table }
 
-// Close ends the pooled connections.
+// Close closes the idle connections to peers.
 func (gr *Group) Close() { gr.client.CloseIdleConnections() }
 
-// Publish writes an item of this daemon's own. Keys of several owners end in
-// the owner's name. A value that has not changed is written again only now and
-// then, but for a member's state, whose writes are its heartbeats.
+// Publish writes an item that this daemon owns. A key that several daemons
+// publish must end in the owner's name. An unchanged value is written again only
+// after rewriteInterval, except for a member record, whose writes are its
+// heartbeats.
 func (gr *Group) Publish(key string, ms proto.Message) {
 	gr.mu.Lock()
 	gr.sequence++
@@ -142,7 +150,8 @@
 	gr.PublishVersion(key, ve, ms)
 }
 
-// PublishVersion writes an item whose order among several writers the caller gives.
+// PublishVersion writes an item that several daemons may write; the version
+// decides which write wins.
 func (gr *Group) PublishVersion(key string, ve Version, ms proto.Message) {
 	value, err := proto.MarshalOptions{Deterministic: true}.Marshal(ms)
 	if err != nil || gr.table.writtenRecently(key, ve.Fence, value, time.Now()) {
@@ -151,7 +160,8 @@
 	gr.table.Put(key, ve, value, time.Now())
 }
 
-// Announce publishes this daemon's state at once and meets some peers.
+// Announce publishes this daemon's member record and runs an exchange round at
+// once. It blocks until the round is over.
 func (gr *Group) Announce(ctx context.Context) {
 	gr.publishSelf()
 	gr.exchangeRound(ctx)
@@ -171,7 +181,8 @@
 	return memberPrefix + me.GetRole() + "/" + me.GetVm()
 }
 
-// exchangeRound meets the peers of one interval at the same time.
+// exchangeRound exchanges with the peers of one round concurrently and blocks
+// until all have answered or timed out.
 func (gr *Group) exchangeRound(ctx context.Context) {
 	gr.rotateRevisions()
 	wg := worker.NewGroup()
@@ -181,8 +192,9 @@
 	wg.Wait()
 }
 
-// pickAddresses chooses addresses at random, known members first; one of the others
-// always has a place, so that parts of a site find each other again.
+// pickAddresses returns random peer addresses, up to Fanout of live members
+// first. At least one address of no live member is added if any is known, so
+// that the parts of a site rejoin after a network partition.
 func (gr *Group) pickAddresses() []string {
 	me := gr.opt.Self.GetPeerAddress()
 	var live, others []string
@@ -210,7 +222,8 @@
 
 func (gr *Group) exchangeTimeout() time.Duration { return gr.opt.FailedAfter / 2 }
 
-// exchangeWith exchanges with one peer, and fetches its policy when it is newer.
+// exchangeWith exchanges items with one peer, offers it the policy in force if
+// it is behind, and fetches its policy if that is newer.
 func (gr *Group) exchangeWith(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, gr.exchangeTimeout())
 	defer cancel()
@@ -232,7 +245,7 @@
 	gr.mu.Lock()
 	gr.syncStates[address] = syncState{incarnation: rs.GetFrom().GetIncarnation(), received: rs.GetChange(), sent: change}
 	if pr.incarnation != "" && pr.incarnation != rs.GetFrom().GetIncarnation() {
-		// The peer is new at this address and has none of the items given.
+		// The peer has restarted and does not have the items sent to its predecessor.
 		gr.syncStates[address] = syncState{incarnation: rs.GetFrom().GetIncarnation(), received: rs.GetChange()}
 	}
 	gr.lastContact[Incarnation(rs.GetFrom().GetIncarnation())] = asked
@@ -253,18 +266,18 @@
 	}
 }
 
-// Peer gives the service of the daemon at an address.
+// Peer returns a client of the peer service at an address.
 func (gr *Group) Peer(address string) rpc.PeerService {
 	return rpc.NewPeerServiceProtobufClient("http://"+address, bearerClient{client: gr.client, key: gr.opt.SharedKey})
 }
 
-// bearerClient adds the shared key to each call.
+// bearerClient is an HTTP client that sends the shared key with each request.
 type bearerClient struct {
 	client *http.Client
 	key    string
 }
 
-// Do sends a request.
+// Do adds the shared key to a request and sends it.
 func (au bearerClient) Do(rq *http.Request) (*http.Response, error) {
 	rq.Header.Set("Authorization", bearer+au.key)
 	rs, err := au.client.Do(rq) //nolint:gosec // peers' addresses come from the settings, the VM list and peers
@@ -278,7 +291,7 @@
 	return equalSecret(strings.TrimPrefix(header, bearer), key) && strings.HasPrefix(header, bearer)
 }
 
-// FailureDomain gives this daemon's.
+// FailureDomain returns the failure domain of this daemon's VM.
 func (gr *Group) FailureDomain() policy.FailureDomain {
 	return policy.FailureDomain(gr.opt.Self.GetFailureDomain())
 }
--- a/peer/member.go
+++ b/peer/member.go
@@ -15,7 +15,7 @@
 
 const memberPrefix = "member/"
 
-// Member is a daemon as the exchange knows it.
+// Member is the state of a daemon as last received through the exchange.
 type Member struct {
 	VM             vm.ID
 	Incarnation    Incarnation
@@ -25,11 +25,13 @@
 	CallersAddress string
 	Draining       bool
 	InFlight       int64
-	// FailedAt is when it counts as failed, if it is not heard of again.
+	// FailedAt is when the member counts as failed unless a newer heartbeat
+	// arrives.
 	FailedAt time.Time
 }
 
-// Members lists the other daemons that are heard of, of all roles.
+// Members returns the other live daemons of all roles: those whose last
+// heartbeat is younger than FailedAfter scaled to the group's size.
 func (gr *Group) Members() []Member {
 	now := time.Now()
 	var out []Member
@@ -43,13 +45,15 @@
 	return out
 }
 
-// Entries lists the other daemons heard of that serve callers as entries do.
+// Entries returns the other live daemons that serve callers: those of every
+// role but steward.
 func (gr *Group) Entries() []Member {
 	return slices.DeleteFunc(gr.Members(), func(mb Member) bool { return mb.Role == RoleSteward })
 }
 
-// Preferred tells whether this daemon is among the first of its role to try
-// for a task, by highest random weight among the live ones.
+// Preferred reports whether this daemon should be among the first to try for a
+// task: whether rendezvous hashing ranks it among the first live daemons of its
+// role, where first is their number.
 func (gr *Group) Preferred(task string, first int) bool {
 	weigh := func(id vm.ID) uint64 { return xxhash.Sum64String(string(id) + "\x00" + task) }
 	own, before := weigh(gr.VM()), 0
@@ -61,7 +65,8 @@
 	return before < first
 }
 
-// LastHeard gives when a run of a daemon was last heard of, over any peer.
+// LastHeard returns the time of the last heartbeat of an incarnation, received
+// directly or through other peers, and reports whether there is one.
 func (gr *Group) LastHeard(in Incarnation) (time.Time, bool) {
 	for _, it := range gr.table.List(memberPrefix) {
 		if it.member.Incarnation == in {
@@ -71,8 +76,9 @@
 	return time.Time{}, false
 }
 
-// ReachesMostEntries tells whether more than half of the entry VMs, this one
-// included, were met directly of late. listed counts the entry VMs of the list.
+// ReachesMostEntries reports whether this daemon has had a direct exchange with
+// more than half of the entry VMs, itself included, within FailedAfter. listed
+// is the number of entry VMs in the VM list.
 func (gr *Group) ReachesMostEntries(listed int) bool {
 	now := time.Now()
 	reached := 1
@@ -100,7 +106,8 @@
 	}
 }
 
-// updateMembers logs who came and who failed.
+// updateMembers records the live members and their number, and logs which have
+// joined or failed since the last call.
 func (gr *Group) updateMembers() {
 	now := map[string]Member{}
 	for _, mb := range gr.Members() {
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestTablesConvergeInAnyOrder writes items at two boards in any order, with repeats: the
-// newest version of each stays.
+// TestTablesConvergeInAnyOrder writes the same items to two tables in different
+// orders, with repeats. Both tables must keep the newest version of each key.
 func TestTablesConvergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		type write struct {
@@ -63,16 +63,18 @@
 		}
 		as, bs := one.List(""), other.List("")
 		if len(as) != len(bs) {
-			rt.Fatalf("%d and %d items", len(as), len(bs))
+			rt.Fatalf("tables hold %d and %d items", len(as), len(bs))
 		}
 		for i := range as {
 			if as[i].Version != bs[i].Version {
-				rt.Fatalf("%s is at %v and %v", as[i].Key, as[i].Version, bs[i].Version)
+				rt.Fatalf("item %s has version %v in one table and %v in the other", as[i].Key, as[i].Version, bs[i].Version)
 			}
 		}
 	})
 }
 
+// FuzzExchange sends arbitrary request bodies, such as items with a negative age
+// or undecodable members; the server must not panic.
 func FuzzExchange(f *testing.F) {
 	text, err := proto.Marshal(&rpc.ExchangeRequest{
 		From:  &rpc.Member{Vm: "b", Incarnation: "i"},
--- a/peer/policy.go
+++ b/peer/policy.go
@@ -10,8 +10,8 @@
 	"tanagerpoint.example/tanager/store"
 )
 
-// exchangeRevisions exchanges nothing but policy revisions with a peer; the one behind
-// fetches what it lacks.
+// exchangeRevisions exchanges only policy revisions with a peer. The side with
+// the older policy then fetches the newer one.
 func (gr *Group) exchangeRevisions(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, gr.exchangeTimeout())
 	defer cancel()
@@ -27,8 +27,9 @@
 	gr.fetchPolicy(ctx, address, store.Revision(rs.GetPolicyRevision()), asked.Add(-time.Duration(rs.GetPolicyAgeMs())*time.Millisecond))
 }
 
-// fetchPolicy brings a peer's policy into force when it is newer, and takes
-// its evidence that the revision is the store's newest.
+// fetchPolicy fetches and applies a peer's policy if it is newer. It also adopts
+// the peer's evidence, the time at which that revision was known to be the
+// store's newest.
 func (gr *Group) fetchPolicy(ctx context.Context, address string, revision store.Revision, evidence time.Time) {
 	mine := gr.holder.Set().Revision
 	if revision > mine {
@@ -43,8 +44,9 @@
 	gr.holder.Confirm(revision, evidence)
 }
 
-// offerPolicy brings the policy in force to a peer at an older revision that had
-// time to fetch it and has not: it may be unable to reach anyone itself.
+// offerPolicy sends the policy in force to a peer that is still older than the
+// policy of the previous round. Such a peer had time to fetch the policy and has
+// not, so it may be unable to open connections to other daemons.
 func (gr *Group) offerPolicy(ctx context.Context, address string, revision store.Revision) {
 	gr.mu.Lock()
 	previous := gr.previousRevision
@@ -58,15 +60,16 @@
 	}
 }
 
-// rotateRevisions notes the policy of the round before: peers that lack it had a round's
-// time to fetch it.
+// rotateRevisions records the policy revision at the start of a round and keeps
+// the one of the round before, which peers had a whole round to fetch.
 func (gr *Group) rotateRevisions() {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
 	gr.previousRevision, gr.currentRevision = gr.currentRevision, gr.holder.Set().Revision
 }
 
-// applyPolicy brings records of a peer into force. The holder keeps what is newer.
+// applyPolicy applies policy records from a peer. The holder ignores those that
+// are older than its own.
 func (gr *Group) applyPolicy(rs *rpc.FetchPolicyResponse) {
 	var changes []policy.Stored
 	for _, en := range rs.GetEntries() {
@@ -79,8 +82,9 @@
 	gr.holder.Update(store.Revision(rs.GetRevision()), changes)
 }
 
-// policyAfter gives the records changed after a revision, or all there are when
-// it is not remembered what was removed since.
+// policyAfter returns the records changed after a revision. If the revision is
+// older than the set's Floor, removals since then are unknown, and it returns a
+// complete copy of the live records instead.
 func (gr *Group) policyAfter(after store.Revision) *rpc.FetchPolicyResponse {
 	set := gr.holder.Set()
 	rs := &rpc.FetchPolicyResponse{Revision: int64(set.Revision)}
@@ -90,7 +94,8 @@
 	}
 	for _, st := range changes {
 		if !rs.GetComplete() && st.ModRevision > set.Revision {
-			// Read ahead of the set's revision: others must not take it for complete up to there.
+			// The record is newer than the set's revision. A peer must not
+			// conclude that it has all changes up to the record's revision.
 			continue
 		}
 		rs.Entries = append(rs.Entries, &rpc.PolicyEntry{Key: st.Key, Value: st.Value, ModRevision: int64(st.ModRevision)})
@@ -98,7 +103,8 @@
 	return rs
 }
 
-// policyAgeMS is how old the evidence for the policy in force is.
+// policyAgeMS returns the age, in milliseconds, of the latest evidence that the
+// policy in force is the store's newest.
 func (gr *Group) policyAgeMS(now time.Time) int64 {
 	return now.Sub(gr.holder.Evidence()).Milliseconds()
 }
--- a/peer/registry.go
+++ b/peer/registry.go
@@ -14,18 +14,21 @@
 )
 
 const (
-	// registryLease is how long an entry outlives its daemon.
+	// registryLease is how long a registry entry remains after its daemon has
+	// stopped without removing it.
 	registryLease         = 10 * time.Second
 	registryRenewInterval = registryLease / 3
-	// renewalsPerRead renewals the others' entries are read: once the exchange knows
-	// some peers, the entries only help parts of a site that lost each other.
+	// renewalsPerRead is the number of renewals between two reads of the other
+	// daemons' entries. Reads can be rare: once the exchange knows some peers,
+	// the entries only serve to rejoin parts of a partitioned site.
 	renewalsPerRead = 9
 )
 
-// Registry keeps this daemon's entry in the store, under a lease, and reads
-// those of the others: peers are found there when no seed is left.
+// Registry keeps this daemon's member record in the store under a lease and
+// reads those of the other daemons, so that peers can be found when no seed is
+// alive.
 //
-// mu guards listed. No other lock is taken while it is held.
+// mu guards addresses. No other lock is taken while it is held.
 type Registry struct {
 	prefix store.Key
 	store  store.Store
@@ -36,19 +39,20 @@
 	addresses []string
 }
 
-// NewRegistry gives a registry under a prefix of the store; Run starts it.
+// NewRegistry returns a registry under a prefix of the store; Run starts it.
 func NewRegistry(prefix store.Key, st store.Store, self *rpc.Member, lo *event.Log) *Registry {
 	return &Registry{prefix: prefix + "member/", store: st, self: self, log: lo}
 }
 
-// Addresses gives the addresses read last.
+// Addresses returns the peer addresses of the last successful read.
 func (rg *Registry) Addresses() []string {
 	rg.mu.Lock()
 	defer rg.mu.Unlock()
 	return rg.addresses
 }
 
-// Run keeps the entry until ctx ends, and then takes it away.
+// Run renews the entry until ctx is done and then revokes its lease, which
+// removes the entry.
 func (rg *Registry) Run(ctx context.Context) {
 	lease := store.LeaseID(0)
 	for round := 0; ; round++ {
@@ -69,7 +73,8 @@
 	}
 }
 
-// renew keeps the lease alive, or writes the entry under a new one.
+// renew renews the lease, or writes the entry under a new lease if the old one
+// has expired. It returns the lease in use, or 0 if there is none.
 func (rg *Registry) renew(ctx context.Context, lease store.LeaseID) store.LeaseID {
 	if lease != 0 {
 		alive, err := rg.store.KeepAlive(ctx, lease)
@@ -97,7 +102,7 @@
 	if err != nil {
 		return err
 	}
-	// A repeated write of the same entry changes nothing, so a lost answer does not matter.
+	// The write is idempotent, so it does not matter if its response is lost.
 	_, err = rg.store.Apply(ctx, store.Commit{Puts: []store.Put{{Key: rg.prefix + store.Key(rg.self.GetVm()), Value: value, Lease: lease}}})
 	return err
 }
--- a/peer/run.go
+++ b/peer/run.go
@@ -9,16 +9,18 @@
 )
 
 const (
-	// smallGroup daemons exchange at the interval set. Larger groups take longer
-	// in proportion, so that what each sends a second does not grow with them.
+	// smallGroup is the largest number of daemons that exchange at the configured
+	// interval. In larger groups the interval grows with the number of daemons,
+	// so that the amount each sends per second does not.
 	smallGroup = 24
-	// notifyFanout is how many peers a large group's daemon tells of a new policy
-	// set at once: nearly all then know within a few steps.
+	// notifyFanout is how many peers a daemon of a large group notifies at once of
+	// a new policy set. Since each of them does the same, nearly all daemons know
+	// of it after a few hops.
 	notifyFanout = 3
 )
 
-// Run exchanges with peers until ctx ends: each interval, and at once when a
-// new policy set comes into force.
+// Run exchanges with peers until ctx is done, once per interval and at once
+// when a new policy set comes into force.
 func (gr *Group) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := gr.holder.Changed()
@@ -31,8 +33,8 @@
 	}
 }
 
-// waitRound waits for the next round. In a large group a new policy set is
-// told of by itself meanwhile, without the items of a round.
+// waitRound blocks until the next round is due. In a large group a new policy
+// set does not start a round; some peers are notified of its revision alone.
 func (gr *Group) waitRound(ctx context.Context, changed <-chan struct{}, due <-chan time.Time) {
 	for {
 		select {
@@ -52,16 +54,17 @@
 	}
 }
 
-// ScaleInterval gives an interval as it is at the group's size.
+// ScaleInterval returns an interval multiplied by size/smallGroup if the group
+// has more than smallGroup daemons, and unchanged otherwise.
 func (gr *Group) ScaleInterval(interval time.Duration) time.Duration {
 	return interval * time.Duration(max(smallGroup, gr.size.Load())) / smallGroup
 }
 
-// Large tells whether the group is too large for each daemon to know every
-// other one's work at each moment.
+// Large reports whether the group has more than smallGroup daemons: too many for
+// each to have up-to-date knowledge of the load of every other one.
 func (gr *Group) Large() bool { return gr.size.Load() > smallGroup }
 
-// notifyPeers tells some peers of the policy in force.
+// notifyPeers exchanges policy revisions with notifyFanout random peers.
 func (gr *Group) notifyPeers(ctx context.Context) {
 	wg := worker.NewGroup()
 	for _, mb := range gr.randomMembers(notifyFanout) {
--- a/peer/server.go
+++ b/peer/server.go
@@ -16,29 +16,31 @@
 	maxPeerBodySize = 16 << 20
 )
 
-// Bills keeps copies of peers' bills.
+// Bills stores copies of peers' unsealed bills.
 type Bills interface {
 	Hold(rq *rpc.HoldBillsRequest)
 }
 
-// Pins fixes the versions of sessions whose home is this daemon.
+// Pins answers requests for session pins that this daemon holds.
 type Pins interface {
 	Pin(ctx context.Context, rq *rpc.PinRequest) (*rpc.PinResponse, error)
 }
 
-// Server answers the other daemons. It implements rpc.PeerService.
+// Server serves the calls of other daemons. It implements rpc.PeerService.
 type Server struct {
 	group *Group
 	bills Bills
 	pins  Pins
 }
 
-// NewServer gives a server; bills and pins are nil on daemons without them.
+// NewServer returns a server. bi and pi are nil on daemons that hold no copies
+// of bills or no pins.
 func NewServer(gr *Group, bi Bills, pi Pins) *Server {
 	return &Server{group: gr, bills: bi, pins: pi}
 }
 
-// Handler gives the peers' listener's handler: calls need the shared key.
+// Handler returns the HTTP handler of the listener for peers. It answers
+// requests without the shared key with status 401.
 func (se *Server) Handler() http.Handler {
 	tw := rpc.NewPeerServiceServer(se)
 	return http.HandlerFunc(func(wr http.ResponseWriter, rq *http.Request) {
@@ -52,7 +54,8 @@
 	})
 }
 
-// Exchange implements rpc.PeerService.
+// Exchange implements rpc.PeerService. It merges the caller's items and returns
+// those that changed since the caller's last exchange.
 func (se *Server) Exchange(ctx context.Context, rq *rpc.ExchangeRequest) (*rpc.ExchangeResponse, error) {
 	gr := se.group
 	now := time.Now()
@@ -65,7 +68,7 @@
 		gr.holder.Confirm(revision, now.Add(-time.Duration(rq.GetPolicyAgeMs())*time.Millisecond))
 	}
 	if revision > gr.holder.Set().Revision {
-		// A full channel means that a newer policy is being fetched already.
+		// If the channel is full, a newer policy is already about to be fetched.
 		select {
 		case gr.aheadPeers <- rq.GetFrom().GetPeerAddress():
 		default:
@@ -85,13 +88,15 @@
 	}, nil
 }
 
-// FetchPolicy implements rpc.PeerService.
+// FetchPolicy implements rpc.PeerService. It returns the records changed after
+// the caller's revision.
 func (se *Server) FetchPolicy(_ context.Context, rq *rpc.FetchPolicyRequest) (*rpc.FetchPolicyResponse, error) {
 	return se.group.policyAfter(store.Revision(rq.GetAfterRevision())), nil
 }
 
-// OfferPolicy implements rpc.PeerService. What goes on from a revision that this
-// daemon has not reached, as after a restart, is of no use to it.
+// OfferPolicy implements rpc.PeerService. It ignores changes that start after a
+// revision newer than this daemon's, as after a restart, since the changes in
+// between would be missing.
 func (se *Server) OfferPolicy(_ context.Context, rq *rpc.OfferPolicyRequest) (*rpc.OfferPolicyResponse, error) {
 	gr, rs := se.group, rq.GetPolicy()
 	mine := int64(gr.holder.Set().Revision)
@@ -102,7 +107,8 @@
 	return &rpc.OfferPolicyResponse{}, nil
 }
 
-// HoldBills implements rpc.PeerService.
+// HoldBills implements rpc.PeerService. A daemon that holds no copies of bills
+// ignores the call.
 func (se *Server) HoldBills(_ context.Context, rq *rpc.HoldBillsRequest) (*rpc.HoldBillsResponse, error) {
 	if se.bills != nil {
 		se.bills.Hold(rq)
@@ -110,7 +116,8 @@
 	return &rpc.HoldBillsResponse{}, nil
 }
 
-// Pin implements rpc.PeerService.
+// Pin implements rpc.PeerService. A daemon that holds no pins returns the
+// proposed version.
 func (se *Server) Pin(ctx context.Context, rq *rpc.PinRequest) (*rpc.PinResponse, error) {
 	if se.pins == nil {
 		return &rpc.PinResponse{Version: rq.GetVersion()}, nil
--- a/peer/table.go
+++ b/peer/table.go
@@ -1,9 +1,10 @@
-// Package peer is the exchange among the daemons of a site: who is alive, the
-// policy revision in force, and small items that each owner publishes.
+// Package peer implements the gossip protocol among the daemons of a site. It
+// spreads membership, the policy revision in force, and small items that each
+// owner publishes.
 //
-// Every daemon meets a few others each interval. Both sides give the items
-// that changed since they last met, so what one daemon writes reaches all, also
-// those that it cannot reach itself.
+// In each interval every daemon exchanges with a few randomly chosen peers.
+// Both sides send the items that changed since their last exchange, so a write
+// also reaches daemons that its owner cannot reach directly.
 package peer
 
 import (
@@ -17,15 +18,17 @@
 	"tanagerpoint.example/tanager/rpc"
 )
 
-// itemTTL is how long an item stays without being written again.
+// itemTTL is how long an item is kept and passed on after its last write.
 const itemTTL = 30 * time.Second
 
-// rewriteInterval is how old an unchanged value gets before it is written again.
-// It is below the lifetimes that readers give to items.
+// rewriteInterval is the age at which an unchanged value is written again. It is
+// shorter than the age at which readers treat an item as expired.
 const rewriteInterval = 1500 * time.Millisecond
 
-// Version orders the writes of one key: the greater fence wins, then the
-// greater sequence.
+// Version orders the writes of one key: the greater Fence wins, then the
+// greater Sequence. Fence is the owner's start time in Unix milliseconds or a
+// value that the writer chooses, such as a fencing token; Sequence rises with
+// each write under one fence.
 type Version struct {
 	Fence    int64
 	Sequence int64
@@ -35,21 +38,23 @@
 	return cmp.Or(cmp.Compare(ve.Fence, other.Fence), cmp.Compare(ve.Sequence, other.Sequence))
 }
 
-// Item is a published value. WrittenAt is by this daemon's clock.
+// Item is a published value. WrittenAt is the time of the owner's write,
+// converted to this daemon's clock.
 type Item struct {
 	Key       string
 	Version   Version
 	Value     []byte
 	WrittenAt time.Time
-	// change is the board's counter when the item last changed here,
-	// valueChange when its value did.
+	// change is the table's change counter when the item was last written
+	// here; valueChange is the counter when its value last changed.
 	change      int64
 	valueChange int64
-	// member is what the value of a member's item decodes to.
+	// member is the decoded value if the key is under memberPrefix.
 	member Member
 }
 
-// Table holds the newest item of each key.
+// Table holds the newest item of each key. Its methods may be called
+// concurrently.
 //
 // mu guards all fields; no other lock is taken while it is held.
 type Table struct {
@@ -58,10 +63,11 @@
 	change int64
 }
 
-// NewTable gives an empty board.
+// NewTable returns an empty table.
 func NewTable() *Table { return &Table{items: map[string]Item{}} }
 
-// Put writes an item, unless the board has a newer one.
+// Put stores an item and reports whether it did so. It does nothing if the
+// table has the same or a newer version of the key.
 func (ta *Table) Put(key string, ve Version, value []byte, writtenAt time.Time) bool {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -86,7 +92,8 @@
 	ta.items[it.Key] = it
 }
 
-// refresh takes a newer version of a value that the board has.
+// refresh stores a newer version of an item whose value is unchanged. It does
+// nothing if the key is missing or has another fence.
 func (ta *Table) refresh(key string, ve Version, writtenAt time.Time) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -96,7 +103,9 @@
 	}
 }
 
-// writtenRecently tells whether a value need not be written again yet.
+// writtenRecently reports whether the same value was written under the same
+// fence less than rewriteInterval ago. It is always false for members, whose
+// writes are heartbeats.
 func (ta *Table) writtenRecently(key string, fence int64, value []byte, now time.Time) bool {
 	if strings.HasPrefix(key, memberPrefix) {
 		return false
@@ -107,7 +116,7 @@
 	return ok && it.Version.Fence == fence && bytes.Equal(it.Value, value) && now.Sub(it.WrittenAt) < rewriteInterval
 }
 
-// Get gives one item.
+// Get returns the item of a key and reports whether there is one.
 func (ta *Table) Get(key string) (Item, bool) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -115,7 +124,7 @@
 	return it, ok
 }
 
-// List lists the items under a prefix, by key.
+// List returns the items whose keys have a prefix, sorted by key.
 func (ta *Table) List(prefix string) []Item {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -129,7 +138,8 @@
 	return out
 }
 
-// changedSince lists what changed after a counter, and the counter now.
+// changedSince returns the items that changed after a value of the change
+// counter, and the counter's current value. It deletes items older than itemTTL.
 func (ta *Table) changedSince(change int64, now time.Time) ([]*rpc.Item, int64) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -153,7 +163,7 @@
 	return out, ta.change
 }
 
-// merge takes a peer's items.
+// merge stores a peer's items that are newer than the table's.
 func (ta *Table) merge(its []*rpc.Item, now time.Time) {
 	for _, it := range its {
 		writtenAt := now.Add(-time.Duration(it.GetAgeMs()) * time.Millisecond)
