--- a/session/assign.go
+++ b/session/assign.go
@@ -6,9 +6,10 @@
 	"tanagerpoint.example/tanager/policy"
 )
 
-// Assign chooses the version of a new session on a model: during a roll-out
-// the candidate gets its share, unless suspect says that it is bad. draw is
-// from 0 to 1.
+// Assign returns the version for a new session on a model. During a roll-out
+// that is the candidate version if draw is below the candidate's share, unless
+// the candidate is not live or suspect reports that it performs badly. draw is a
+// random number in [0, 1).
 func Assign(se *policy.Set, mo policy.Model, draw float64, suspect func(policy.VersionID) bool) policy.VersionID {
 	stable := policy.VersionID(mo.StableVersion)
 	ro, ok := se.ActiveRollout(mo.ID)
@@ -23,5 +24,5 @@
 	return candidate
 }
 
-// Draw gives a number from 0 to 1 for Assign.
+// Draw returns a random number in [0, 1) for Assign.
 func Draw() float64 { return rand.Float64() }
--- a/session/pin.go
+++ b/session/pin.go
@@ -17,22 +17,22 @@
 )
 
 const (
-	// pinTTL is how long a pin stays after its last use.
+	// pinTTL is how long a pin is kept after it was last renewed.
 	pinTTL = 30 * time.Minute
-	// holdersPerPin is how many entries hold a pin.
+	// holdersPerPin is how many entries store each pin.
 	holdersPerPin = 2
-	// maxPins bounds the pins held by one entry.
+	// maxPins is the largest number of pins in the table of one entry.
 	maxPins = 200_000
-	// pinTimeout bounds a call to a home.
+	// pinTimeout is the timeout of a call to another holder of a pin.
 	pinTimeout = 300 * time.Millisecond
-	// renewInterval is how old a cached pin gets before its homes hear of it.
+	// renewInterval is the age at which a used pin is renewed at its holders.
 	renewInterval = pinTTL / 4
 )
 
-// Key is a session within the site.
+// Key identifies a session within the site.
 type Key string
 
-// NewKey gives the key of an organisation's session on a model.
+// NewKey returns the key of an organisation's session on a model.
 func NewKey(or policy.OrganisationID, mo policy.ModelID, id ID) Key {
 	return Key(string(or) + "\x00" + string(mo) + "\x00" + string(id))
 }
@@ -43,10 +43,11 @@
 	renewAt   time.Time
 }
 
-// Pins holds sessions' versions. It answers for the sessions whose home is
-// this entry, and asks the homes of others.
+// Pins maps sessions to the versions that they are pinned to. It stores the pins
+// that this entry holds, and caches those that it has requested from their
+// holders.
 //
-// mu guards the pins; no call is made while it is held.
+// mu guards pins and lastEntries; no call to a peer is made while it is held.
 type Pins struct {
 	group       *peer.Group
 	mu          sync.Mutex
@@ -54,28 +55,30 @@
 	lastEntries []peer.Incarnation
 }
 
-// NewPins gives an empty table.
+// NewPins returns an empty table; Run keeps the pins on their holders when
+// entries join or leave.
 func NewPins(gr *peer.Group) *Pins {
 	return &Pins{group: gr, pins: map[Key]pin{}}
 }
 
-// Len counts the pins held.
+// Len returns the number of pins in the table, cached ones included.
 func (pi *Pins) Len() int {
 	pi.mu.Lock()
 	defer pi.mu.Unlock()
 	return len(pi.pins)
 }
 
-// pinHolder is an entry that may hold a pin; address is empty for this one.
+// pinHolder is an entry that stores a pin; address is empty for this entry.
 type pinHolder struct {
 	vm      vm.ID
 	domain  policy.FailureDomain
 	address string
 }
 
-// holdersOf gives a session's homes among the live entries, by highest random
-// weight (Thaler and Ravishankar, 1998), the second one in another failure
-// domain than the first where there is one.
+// holdersOf returns the live entries that hold a session's pin, chosen by
+// rendezvous hashing (highest random weight; Thaler and Ravishankar, 1998). If
+// the site has several failure domains, the second holder is in another one than
+// the first.
 func (pi *Pins) holdersOf(key Key) []pinHolder {
 	all := []pinHolder{{vm: pi.group.VM(), domain: pi.group.FailureDomain()}}
 	for _, mb := range pi.group.Entries() {
@@ -95,9 +98,10 @@
 	return xxhash.Sum64String(string(id) + "\x00" + string(key))
 }
 
-// Version gives the version of a session, pinning the proposed one when it has
-// none. The first pin wins at whatever entry it is asked for. A pin to the
-// version replaced gives way to the proposed one.
+// Version returns the version that a session is pinned to, and pins it to the
+// proposed version if it has no pin. If several entries propose versions, the
+// first one wins. A pin to the replaced version is overwritten by the proposed
+// one. If no holder answers, the pin is stored at this entry alone.
 func (pi *Pins) Version(ctx context.Context, key Key, proposed, replaced policy.VersionID) policy.VersionID {
 	now := time.Now()
 	if pn, ok := pi.get(key, now); ok && pn.version != replaced && now.Before(pn.renewAt) {
@@ -127,9 +131,9 @@
 	return pi.group.Peer(ho.address).Pin(ctx, rq)
 }
 
-// Pin implements peer.Pins for sessions whose home is this entry. A home that
-// does not know a session asks the other one before it takes the proposal,
-// since it may be new.
+// Pin implements peer.Pins for sessions whose pins this entry holds. If it has no
+// pin for a session, it asks the other holders before it accepts the proposal,
+// because it may have become a holder only now.
 func (pi *Pins) Pin(ctx context.Context, rq *rpc.PinRequest) (*rpc.PinResponse, error) {
 	key, now := Key(rq.GetSession()), time.Now()
 	proposed, replaced := policy.VersionID(rq.GetVersion()), policy.VersionID(rq.GetReplaces())
@@ -147,8 +151,9 @@
 	return &rpc.PinResponse{Version: string(version)}, nil
 }
 
-// storeCopy stores another home's pin. Without a version it only answers what
-// this home has.
+// storeCopy stores a pin sent by another holder unless this entry has one that
+// is not replaced, and returns the resulting version. Without a version it stores
+// nothing and returns the version that this entry has, if any.
 func (pi *Pins) storeCopy(key Key, version, replaced policy.VersionID, now time.Time) *rpc.PinResponse {
 	pn, known := pi.get(key, now)
 	if version == "" {
@@ -161,7 +166,8 @@
 	return &rpc.PinResponse{Version: string(pn.version)}
 }
 
-// fetchCopy asks the other homes what they have for a session.
+// fetchCopy returns the version of a session at the first other holder that has
+// a pin for it, or "" if none has.
 func (pi *Pins) fetchCopy(ctx context.Context, key Key, rq *rpc.PinRequest) policy.VersionID {
 	for _, ho := range pi.holdersOf(key) {
 		if ho.address == "" {
@@ -200,7 +206,9 @@
 	pi.putLocked(key, version, now)
 }
 
-// putIfAbsent pins a version unless the session has one, and gives the one it has.
+// putIfAbsent pins a session to a version unless it has a pin that is not
+// replaced, and returns the version it is then pinned to. Either way it renews
+// the pin.
 func (pi *Pins) putIfAbsent(key Key, version, replaced policy.VersionID, now time.Time) policy.VersionID {
 	pi.mu.Lock()
 	defer pi.mu.Unlock()
@@ -218,8 +226,9 @@
 	pi.pins[key] = pin{version: version, expiresAt: now.Add(pinTTL), renewAt: now.Add(renewInterval)}
 }
 
-// evictPins forgets the lapsed pins, and some others when too few have lapsed:
-// enough that the next call is far off, since it looks at every pin.
+// evictPins removes the expired pins. If they are too few, it also removes
+// arbitrary others until a sixteenth of maxPins is free: it visits every pin, so
+// it must not be needed again soon.
 func (pi *Pins) evictPins(now time.Time) {
 	for key, pn := range pi.pins {
 		if now.After(pn.expiresAt) {
@@ -234,7 +243,8 @@
 	}
 }
 
-// Run hands pins to their new homes whenever the entries change.
+// Run checks at each interval whether entries have joined, left or restarted,
+// and then sends the pins to their new holders. It blocks until ctx is done.
 func (pi *Pins) Run(ctx context.Context, interval time.Duration) {
 	for worker.Sleep(ctx, interval) {
 		if pi.entriesChanged() {
--- a/session/token.go
+++ b/session/token.go
@@ -1,6 +1,7 @@
-// Package session keeps a session on its version. A caller either gives back
-// a signed token that names the version, or gives an id of its own, whose
-// version is pinned at two entries chosen by the id.
+// Package session keeps each session on one version of its model. A caller
+// either returns a signed token that names the version, or sends a session ID of
+// its own, whose version is pinned at two entries chosen by a hash of the
+// organisation, the model and the ID.
 package session
 
 import (
@@ -15,38 +16,41 @@
 	"tanagerpoint.example/tanager/policy"
 )
 
-// ID names a session within its organisation and model.
+// ID is a session ID chosen by the caller. It is unique within an organisation
+// and model.
 type ID string
 
-// ErrToken marks a token that this site did not issue.
+// ErrToken is returned for a token that is malformed, too long, or not signed
+// with this site's key.
 var ErrToken = eris.New("session: token is not valid")
 
-// maxTokenBytes bounds a token.
+// maxTokenBytes is the largest accepted size of a token.
 const maxTokenBytes = 1024
 
-// encoding refuses texts that differ only in bits that decode to nothing, so
-// that a token has one form.
+// encoding is strict: it rejects non-zero trailing padding bits, so that only one
+// text decodes to a given token.
 var encoding = base64.RawURLEncoding.Strict()
 
-// Claims are what a token says.
+// Claims is the signed content of a token.
 type Claims struct {
 	Organisation policy.OrganisationID `json:"o"`
 	Model        policy.ModelID        `json:"m"`
 	Version      policy.VersionID      `json:"v"`
 }
 
-// Signer issues and checks tokens with a key that the site's daemons share.
+// Signer issues and verifies tokens with HMAC-SHA-256 under a key that all
+// daemons of the site derive from their shared key.
 type Signer struct {
 	key []byte
 }
 
-// NewSigner gives a signer.
+// NewSigner returns a signer whose key is derived from the site's shared key.
 func NewSigner(sharedKey string) *Signer {
 	sum := sha256.Sum256([]byte("session token\x00" + sharedKey))
 	return &Signer{key: sum[:]}
 }
 
-// Issue gives the token for a session.
+// Issue returns a signed token with the claims.
 func (si *Signer) Issue(cl Claims) (string, error) {
 	body, err := json.Marshal(cl)
 	if err != nil {
@@ -56,7 +60,8 @@
 	return text + "." + encoding.EncodeToString(si.sign(text)), nil
 }
 
-// Check gives what a token says, or ErrToken.
+// Check verifies a token and returns its claims. The error wraps ErrToken if the
+// token is not valid.
 func (si *Signer) Check(token string) (Claims, error) {
 	text, mac, ok := strings.Cut(token, ".")
 	if !ok || len(token) > maxTokenBytes {
--- a/session/token_test.go
+++ b/session/token_test.go
@@ -8,6 +8,8 @@
 	"tanagerpoint.example/tanager/session"
 )
 
+// TestCheckAcceptsOnlyIssuedTokens checks that a token passes with the key that
+// signed it, and fails with another key or when it is truncated or extended.
 func TestCheckAcceptsOnlyIssuedTokens(t *testing.T) {
 	si := session.NewSigner("a shared key")
 	want := session.Claims{Organisation: "survey", Model: "m", Version: "m-1"}
@@ -24,6 +26,8 @@
 	qt.Assert(t, err, qt.ErrorIs, session.ErrToken)
 }
 
+// FuzzToken checks that no text other than the issued token passes, such as one
+// that differs only in the unused last bits of its base64 form.
 func FuzzToken(f *testing.F) {
 	si := session.NewSigner("a shared key")
 	token, err := si.Issue(session.Claims{Organisation: "survey"})
@@ -33,7 +37,7 @@
 	f.Add(token)
 	f.Fuzz(func(t *testing.T, text string) {
 		if _, err := si.Check(text); err == nil && text != token {
-			t.Fatalf("forged token %q passes", text)
+			t.Fatalf("Check accepted forged token %q", text)
 		}
 	})
 }
