--- a/worker/group.go
+++ b/worker/group.go
@@ -1,4 +1,4 @@
-// Package worker starts goroutines in groups that can be waited for.
+// Package worker runs goroutines in groups that can be cancelled and waited for.
 package worker
 
 import (
@@ -7,9 +7,11 @@
 	"time"
 )
 
-// Group runs goroutines that end with it. Close cancels them and waits.
+// Group runs goroutines under a common context. Close cancels the context and
+// waits for them. Its methods may be called concurrently.
 //
-// mu guards closed, and keeps goroutines from being started while Close waits.
+// mu guards closed. Go holds it while it starts a goroutine, so that none is
+// started once Close has begun to wait.
 type Group struct {
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -18,16 +20,17 @@
 	closed bool
 }
 
-// NewGroup gives an empty group.
+// NewGroup returns an empty group.
 func NewGroup() *Group {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Group{ctx: ctx, cancel: cancel}
 }
 
-// Context ends when the group is closed.
+// Context returns the group's context, which is cancelled by Close.
 func (gr *Group) Context() context.Context { return gr.ctx }
 
-// Go runs fn in a goroutine of the group. A closed group runs nothing more.
+// Go runs fn in a new goroutine of the group. It does nothing if the group is
+// closed.
 func (gr *Group) Go(fn func(ctx context.Context)) {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
@@ -36,7 +39,8 @@
 	}
 }
 
-// Every runs fn at once and then whenever interval has passed since it ended.
+// Every starts a goroutine that runs fn at once and again an interval after each
+// run has returned, until the group is closed.
 func (gr *Group) Every(interval time.Duration, fn func(ctx context.Context)) {
 	gr.Go(func(ctx context.Context) {
 		for ctx.Err() == nil {
@@ -46,7 +50,8 @@
 	})
 }
 
-// Close cancels the goroutines and waits until all have ended.
+// Close cancels the group's context and blocks until all goroutines have
+// returned.
 func (gr *Group) Close() {
 	gr.mu.Lock()
 	gr.closed = true
@@ -55,7 +60,8 @@
 	gr.wait.Wait()
 }
 
-// Sleep waits until an interval has passed or ctx ends; false for the latter.
+// Sleep blocks until an interval has passed or ctx is done, and reports whether
+// the interval has passed.
 func Sleep(ctx context.Context, interval time.Duration) bool {
 	tm := time.NewTimer(interval)
 	defer tm.Stop()
@@ -67,5 +73,5 @@
 	}
 }
 
-// Wait waits until the goroutines have ended, without cancelling them.
+// Wait blocks until all goroutines have returned, without cancelling them.
 func (gr *Group) Wait() { gr.wait.Wait() }
--- a/worker/group_test.go
+++ b/worker/group_test.go
@@ -11,8 +11,9 @@
 	"tanagerpoint.example/tanager/worker"
 )
 
-// TestClosedGroupStartsNoGoroutines starts goroutines while the group is closed,
-// as handlers do that are still running when their daemon ends.
+// TestClosedGroupStartsNoGoroutines calls Go concurrently with Close, as
+// handlers do that still run while their daemon shuts down. No goroutine may run
+// once Close has returned.
 func TestClosedGroupStartsNoGoroutines(t *testing.T) {
 	for range 200 {
 		gr := worker.NewGroup()
