--- a/bill/bill.go
+++ b/bill/bill.go
@@ -1,11 +1,12 @@
-// Package bill keeps one bill for each answer that was given.
+// Package bill stores exactly one bill for each answer that was delivered.
 //
-// A bill goes to peers before the last byte of its answer, and into a batch
-// that its owner seals in the store. A batch is a chain of parts, written
-// create-only under the owner's incarnation, batch number and part number.
-// Whoever seals, the owner or a peer for a failed owner, reads the parts that
-// are there and appends a part with the bills that are missing; so each bill
-// is stored once. spec/bill.pml checks it.
+// A bill is copied to peers before the last byte of its answer is sent, and is
+// added to a batch. To seal a batch is to write it to the store. A batch is stored
+// as a sequence of parts, each created, never overwritten, under a key of the
+// owner's incarnation, the batch number and the part number. A batch is sealed by
+// its owner, or by a peer if the owner has failed. Either one reads the parts
+// that exist and appends a part with the bills that are missing, so that each
+// bill is stored once. spec/bill.pml is a model of this protocol.
 package bill
 
 import (
@@ -25,36 +26,44 @@
 	"tanagerpoint.example/tanager/worker"
 )
 
-// ID names a bill. It is unique to a request.
+// ID identifies a bill. Each request has its own.
 type ID string
 
-// BatchNumber counts an incarnation's batches.
+// BatchNumber is the number of a batch within its owner's incarnation, from 1.
 type BatchNumber int64
 
 const (
-	// maxBatch bounds the bills of one batch, to stay below the store's
-	// largest value.
+	// maxBatch is the largest number of bills in one batch. It keeps a batch
+	// below the largest value that the store accepts.
 	maxBatch = 2000
-	// copyTimeout bounds a call to a peer that holds copies.
+	// copyTimeout is the timeout of a call to a peer that holds copies.
 	copyTimeout = 400 * time.Millisecond
-	// adoptAfter is how long an owner is unheard of before a peer seals for it.
+	// adoptAfter is how long after an owner's last heartbeat a peer seals its
+	// batches.
 	adoptAfter = 5 * time.Second
-	// checkAfter is how long copies stay without a notification that their batch is sealed.
+	// checkAfter is how long a peer keeps copies without a notification that
+	// their batch is sealed, before it seals the batch itself.
 	checkAfter = time.Minute
-	// adoptInterval is the time between looks for failed owners.
+	// adoptInterval is the interval at which held batches are checked for failed
+	// owners.
 	adoptInterval = time.Second
-	// minSealInterval is the least time between two batches, also when bills
-	// wait for the store because peers are missing.
+	// minSealInterval is the shortest pause between two batches. It also holds
+	// when bills wait for the store because no peer has taken a copy, so that the
+	// store is not flooded with single bills.
 	minSealInterval = 25 * time.Millisecond
-	// entriesAtFullRate is how many entries seal at the set interval; more
-	// of them seal less often, so that the store's writes do not grow.
+	// entriesAtFullRate is the largest number of entries that seal at the
+	// configured interval. With more entries each seals less often, so that the
+	// store's write rate does not grow with their number.
 	entriesAtFullRate = 8
 )
 
-// ErrNotKept marks a bill that reached neither a peer nor the store.
-var ErrNotKept = eris.New("bill: neither a peer nor the store keeps it")
+// ErrNotKept is returned for a bill that is not known to be stored by a peer or in
+// the store.
+var ErrNotKept = eris.New("bill: not confirmed by a peer or the store")
 
-// Options set a Book.
+// Options configure a Book. Prefix is the prefix of its keys in the store, Copies
+// the number of peers that get a copy of each bill, SealEvery the interval between
+// batches, and MaxUnsealed the number of unsealed bills at which it is full.
 type Options struct {
 	Prefix      store.Key
 	Copies      int
@@ -62,40 +71,43 @@
 	MaxUnsealed int
 }
 
-// batch is a batch of this incarnation's own.
+// batch is a batch that this incarnation owns.
 type batch struct {
 	number BatchNumber
 	bills  []*rpc.Bill
-	// holders are the peers that have copies of some of the bills.
+	// holders are the addresses of peers that have copies of some of the bills.
 	holders []string
-	// sealed is closed when the store has the batch.
+	// sealed is closed when the batch is in the store.
 	sealed chan struct{}
 }
 
-// heldKey is a batch of a peer's.
+// heldKey identifies a batch that a peer owns.
 type heldKey struct {
 	incarnation peer.Incarnation
 	number      BatchNumber
 }
 
-// heldBatch is what this entry has of a peer's batch.
+// heldBatch is the copies that this entry has of a peer's batch.
 type heldBatch struct {
 	bills []*rpc.Bill
-	// checkAt is when the batch is sealed even if its owner lives: by then the
-	// owner has sealed it, and its notification was lost.
+	// checkAt is when this entry seals the batch even if its owner is alive: by
+	// then the owner has normally sealed it and the notification was lost.
 	checkAt time.Time
 }
 
-// pendingBill is a bill on its way to the peers.
+// pendingBill is a bill that waits to be copied to peers. done receives nil once
+// a peer or the store has it, or an error.
 type pendingBill struct {
 	bill *rpc.Bill
 	done chan error
 }
 
-// Book keeps this entry's unsealed bills and copies of its peers'.
+// Book holds this entry's unsealed bills and copies of its peers' unsealed bills.
+// Its methods may be called concurrently.
 //
-// mu guards open, closed, held, sealed and number. It is taken before the
-// peers' locks, never after; no call is made while it is held.
+// mu guards open, closed, held, unnotified and number. It is taken before the
+// locks of peers, never after; no call to a peer or the store is made while it is
+// held.
 type Book struct {
 	opt      Options
 	store    store.Store
@@ -111,11 +123,12 @@
 	open   *batch
 	closed []*batch
 	held   map[heldKey]heldBatch
-	// unnotified are batches whose holders have not been notified yet.
+	// unnotified maps the address of a holder to the numbers of sealed batches
+	// that it has not been notified of yet.
 	unnotified map[string][]int64
 }
 
-// NewBook gives an empty book; Close ends it.
+// NewBook returns an empty book and starts its goroutines; Close stops them.
 func NewBook(opt Options, st store.Store, pe *peer.Group, lo *event.Log) *Book {
 	bo := &Book{
 		opt: opt, store: st, peers: pe, log: lo,
@@ -129,7 +142,8 @@
 	return bo
 }
 
-// Close ends the book's goroutines, after a last try to seal every batch.
+// Close stops the book's goroutines and then tries once more to seal every batch
+// and to notify the holders.
 func (bo *Book) Close(ctx context.Context) {
 	bo.group.Close()
 	bo.closeOpen()
@@ -142,13 +156,14 @@
 	return &batch{number: bo.number, sealed: make(chan struct{})}
 }
 
-// Full tells whether too many bills are unsealed for more work to be taken.
+// Full reports whether MaxUnsealed bills or more are unsealed, so that no new work
+// should be accepted.
 func (bo *Book) Full() bool { return bo.unsealed.Load() >= int64(bo.opt.MaxUnsealed) }
 
-// Unsealed counts this entry's unsealed bills.
+// Unsealed returns the number of this entry's unsealed bills.
 func (bo *Book) Unsealed() int64 { return bo.unsealed.Load() }
 
-// Held counts the copies of peers' bills.
+// Held returns the number of copies of peers' bills.
 func (bo *Book) Held() int {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
@@ -159,8 +174,9 @@
 	return n
 }
 
-// Add keeps a bill: it returns when the peers have their copies or the store
-// has the bill. The answer's end must wait for it.
+// Add adds a bill. It blocks until at least one peer has a copy or the bill is in
+// the store; the caller must not send the end of the answer before. The error
+// wraps ErrNotKept if ctx is done first or the book is closed.
 func (bo *Book) Add(ctx context.Context, bi *rpc.Bill) error {
 	bo.unsealed.Add(1)
 	pb := &pendingBill{bill: bi, done: make(chan error, 1)}
@@ -168,7 +184,7 @@
 	case bo.pending <- pb:
 	case <-bo.group.Context().Done():
 		bo.appendOpen(nil, []*rpc.Bill{bi})
-		return eris.Wrap(ErrNotKept, "Book.Add: closed")
+		return eris.Wrap(ErrNotKept, "Book.Add: book is closed")
 	}
 	select {
 	case err := <-pb.done:
@@ -178,7 +194,8 @@
 	}
 }
 
-// appendOpen adds bills to the open batch and gives it.
+// appendOpen adds bills and their holders to the open batch, after closing it if
+// the bills would make it larger than maxBatch, and returns the open batch.
 func (bo *Book) appendOpen(holders []string, bills []*rpc.Bill) *batch {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
@@ -215,7 +232,8 @@
 	}
 }
 
-// waitSealed waits until the store has a batch.
+// waitSealed blocks until a batch is in the store. It returns ErrNotKept if ctx is
+// done first.
 func waitSealed(ctx context.Context, ba *batch) error {
 	select {
 	case <-ba.sealed:
@@ -271,7 +289,8 @@
 	}
 }
 
-// notifySealed lets holders drop the copies of sealed batches.
+// notifySealed notifies the holders of sealed batches, so that they delete their
+// copies.
 func (bo *Book) notifySealed(ctx context.Context) {
 	bo.mu.Lock()
 	var holders []string
@@ -292,8 +311,8 @@
 	return out
 }
 
-// requeueUnnotified keeps the numbers of batches whose holder did not hear of them,
-// for as long as it lives.
+// requeueUnnotified keeps the numbers of sealed batches after a failed
+// notification, to repeat it, unless the holder is no longer alive.
 func (bo *Book) requeueUnnotified(ad string, numbers []int64) {
 	alive := slices.ContainsFunc(bo.peers.Entries(), func(mb peer.Member) bool { return mb.PeerAddress == ad })
 	if len(numbers) == 0 || !alive {
--- a/bill/copy.go
+++ b/bill/copy.go
@@ -11,7 +11,8 @@
 	"tanagerpoint.example/tanager/worker"
 )
 
-// copyLoop sends bills to peers, all that came during one round in the next.
+// copyLoop copies bills to peers in rounds. The bills that arrive during one round
+// are sent together in the next.
 func (bo *Book) copyLoop(ctx context.Context) {
 	for {
 		var pbs []*pendingBill
@@ -56,8 +57,9 @@
 	}
 }
 
-// pickHolders chooses the peers for copies: the batch's own so far, then
-// entries in other failure domains, then any.
+// pickHolders returns the addresses of up to Copies entries for the next copies:
+// first the live holders of the open batch, then random entries in failure
+// domains not used yet, then any others. It leaves out draining entries.
 func (bo *Book) pickHolders() []string {
 	mbs := bo.peers.Entries()
 	bo.mu.Lock()
@@ -92,7 +94,8 @@
 	return chosen
 }
 
-// copyTo sends bills to peers at the same time and counts who has them.
+// copyTo sends bills, and the numbers of sealed batches, to peers concurrently. It
+// returns the number of peers that confirmed.
 func (bo *Book) copyTo(ctx context.Context, targets []string, number BatchNumber, bills []*rpc.Bill) int {
 	var copies atomic.Int64
 	wg := worker.NewGroup()
@@ -116,8 +119,8 @@
 	return int(copies.Load())
 }
 
-// removeHolder makes the next round choose another peer in place of one that
-// did not answer.
+// removeHolder removes a peer that did not answer from the holders of the open
+// batch, so that the next round may choose another one.
 func (bo *Book) removeHolder(ad string) {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
--- a/bill/hold.go
+++ b/bill/hold.go
@@ -9,7 +9,8 @@
 	"tanagerpoint.example/tanager/rpc"
 )
 
-// Hold implements peer.Bills.
+// Hold implements peer.Bills. It stores copies of a peer's bills, and deletes the
+// copies of the batches that the peer has sealed.
 func (bo *Book) Hold(rq *rpc.HoldBillsRequest) {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
@@ -26,8 +27,8 @@
 	}
 }
 
-// adopt seals the held batches of owners that are not heard of any more, and
-// those whose owner sent no notification.
+// adopt seals the held batches of failed owners, and those whose owner sent no
+// notification in time. It stops at the first error.
 func (bo *Book) adopt(ctx context.Context) {
 	for key, hb := range bo.adoptable() {
 		if err := bo.seal(ctx, key.incarnation, key.number, hb.bills); err != nil {
@@ -53,7 +54,8 @@
 	return out
 }
 
-// dropCopies forgets the first n copies of a batch: more may have come since.
+// dropCopies deletes the first n copies of a batch. It keeps the rest, which
+// arrived while those were being sealed.
 func (bo *Book) dropCopies(key heldKey, n int) {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
--- a/bill/list.go
+++ b/bill/list.go
@@ -13,19 +13,19 @@
 	"tanagerpoint.example/tanager/store"
 )
 
-// Listing is what the store has of bills.
+// Listing is the result of reading the sealed bills from the store.
 type Listing struct {
 	Bills []*rpc.Bill
-	// Stored counts the bills as stored; a greater number than Bills shows a
-	// bill stored twice.
+	// Stored is the number of bills in the store, duplicates included. It is
+	// greater than len(Bills)+len(Repeated) if a bill is stored twice.
 	Stored int
-	// Repeated are bills of a request that has a bill already: its caller
-	// asked again under the same request id. They are not charged.
+	// Repeated are further bills of a request that has a bill already, because
+	// the caller repeated it with the same request ID. They are not charged.
 	Repeated []*rpc.Bill
 }
 
-// List reads all sealed bills. A bill, and a caller's request id within its
-// organisation, is charged once.
+// List returns all sealed bills under a key prefix of the store. Bills has each
+// bill once, and one bill per organisation and request ID.
 func List(ctx context.Context, st store.Store, prefix store.Key) (Listing, error) {
 	pa, err := st.Range(ctx, prefix+"bill/")
 	if err != nil {
@@ -58,7 +58,8 @@
 
 func shuffled(n int) []int { return rand.Perm(n) }
 
-// Total sums an organisation's bills for one version or service.
+// Total is the sum of an organisation's bills for one version or service, which
+// Resource names. Cost is in micro-credits.
 type Total struct {
 	Organisation string
 	Resource     string
@@ -68,15 +69,16 @@
 	Cost         int64
 }
 
-// Sum adds up bills by organisation and version or service, in that order.
+// Sum returns the totals of bills per organisation and version or service, sorted
+// by these.
 func Sum(bis []*rpc.Bill) []Total {
-	type group struct{ organisation, what string }
+	type group struct{ organisation, resource string }
 	sums := map[group]*Total{}
 	for _, bi := range bis {
 		gr := group{bi.GetOrganisation(), cmp.Or(bi.GetService(), bi.GetVersion())}
 		su, ok := sums[gr]
 		if !ok {
-			su = &Total{Organisation: gr.organisation, Resource: gr.what}
+			su = &Total{Organisation: gr.organisation, Resource: gr.resource}
 			sums[gr] = su
 		}
 		su.Bills++
--- a/bill/seal.go
+++ b/bill/seal.go
@@ -17,11 +17,12 @@
 	return bo.opt.Prefix + store.Key(fmt.Sprintf("bill/%s/%010d/", in, number))
 }
 
-// seal appends the bills of a batch that the store does not have yet.
+// seal writes those bills of a batch to the store that are not in it yet. It may
+// be called by the batch's owner and by peers at the same time.
 func (bo *Book) seal(ctx context.Context, in peer.Incarnation, number BatchNumber, bills []*rpc.Bill) error {
 	prefix := bo.batchPrefix(in, number)
-	// The first part is written unread: it is there only after a lost answer,
-	// or when someone else has sealed.
+	// The first attempt writes part 0 without reading: that part exists only if
+	// the response to an earlier write was lost or another daemon has sealed.
 	part, missing := 0, bills
 	for {
 		value, err := proto.Marshal(&rpc.SealedBatch{
@@ -51,8 +52,8 @@
 	}
 }
 
-// missing reads a batch's parts and gives the next part's number and the
-// bills that no part has.
+// missing reads the stored parts of a batch. It returns the number of the next
+// part and the bills that no part contains.
 func (bo *Book) missing(ctx context.Context, prefix store.Key, bills []*rpc.Bill) (int, []*rpc.Bill, error) {
 	pa, err := bo.store.Range(ctx, prefix)
 	if err != nil {
