--- a/configuration/holder.go
+++ b/configuration/holder.go
@@ -1,6 +1,6 @@
-// Package configuration spreads the operators' policy records: Writer changes
-// them in the store, Watcher follows the store, and Holder keeps what is in
-// force in this daemon.
+// Package configuration distributes the operators' policy records. Writer changes
+// them in the store, Watcher loads them from the store and watches it for changes,
+// and Holder holds the policy set in force in this daemon.
 package configuration
 
 import (
@@ -13,9 +13,11 @@
 	"tanagerpoint.example/tanager/store"
 )
 
-// Holder keeps the policy set in force. Its revision only rises.
+// Holder holds the policy set in force, whose revision never falls. Its methods
+// may be called concurrently.
 //
-// mu guards changed, evidence and steadyFrom; the set itself is read without a lock.
+// mu guards changed, evidence and availableSince and serialises changes of the
+// set, which is read without a lock.
 type Holder struct {
 	log *event.Log
 	set atomic.Pointer[policy.Set]
@@ -23,29 +25,31 @@
 	mu       sync.Mutex
 	changed  chan struct{}
 	evidence time.Time
-	// availableSince is since when evidence has come without a gap.
+	// availableSince is the time since which there has been evidence without a
+	// gap of more than maxEvidenceGap.
 	availableSince time.Time
 }
 
-// NewHolder gives a holder of the empty set.
+// NewHolder returns a holder of an empty set.
 func NewHolder(lo *event.Log) *Holder {
 	ho := &Holder{log: lo, changed: make(chan struct{})}
 	ho.set.Store(policy.NewSet())
 	return ho
 }
 
-// Set gives the set in force.
+// Set returns the set in force.
 func (ho *Holder) Set() *policy.Set { return ho.set.Load() }
 
-// Changed gives a channel that is closed when the next set comes into force.
+// Changed returns a channel that is closed when the next set comes into force.
 func (ho *Holder) Changed() <-chan struct{} {
 	ho.mu.Lock()
 	defer ho.mu.Unlock()
 	return ho.changed
 }
 
-// Update brings changes into force that are complete from the holder's own
-// revision, or an earlier one, up to revision. Older changes have no effect.
+// Update applies changes to the set in force and raises it to a revision. The
+// changes must include all that came after the set's revision, up to the given
+// one. Update does nothing if the given revision is not newer than the set's.
 func (ho *Holder) Update(revision store.Revision, changes []policy.Stored) {
 	ho.swap(func(old *policy.Set) *policy.Set {
 		if revision <= old.Revision {
@@ -55,8 +59,10 @@
 	})
 }
 
-// UpdateFunc brings the changes into force that translate makes of the set. The
-// set does not change between the two: changes may depend on what it holds.
+// UpdateFunc calls translate with the set in force and applies the changes that
+// it returns. The set stays locked against other changes meanwhile, so the result
+// may depend on it. The new revision is the greatest of the changes; UpdateFunc
+// does nothing if that is not newer than the set's.
 func (ho *Holder) UpdateFunc(translate func(se *policy.Set) []policy.Stored) {
 	ho.swap(func(old *policy.Set) *policy.Set {
 		changes := translate(old)
@@ -71,7 +77,9 @@
 	})
 }
 
-// Replace brings all records at a revision into force; what they lack is gone.
+// Replace replaces the set by all records at a revision. Records that are not
+// among them are removed, unless they are newer. Replace does nothing if the
+// revision is not newer than the set's.
 func (ho *Holder) Replace(revision store.Revision, records []policy.Stored) {
 	ho.swap(func(old *policy.Set) *policy.Set {
 		if revision <= old.Revision {
@@ -81,7 +89,9 @@
 	})
 }
 
-// swap brings the set into force that fn gives for the one in force.
+// swap replaces the set in force by the one that fn returns for it, closes the
+// channel of Changed and logs the set's findings. It does nothing if fn returns
+// the same set.
 func (ho *Holder) swap(fn func(old *policy.Set) *policy.Set) {
 	ho.mu.Lock()
 	defer ho.mu.Unlock()
@@ -99,7 +109,8 @@
 	}
 }
 
-// Confirm records that at a time the set at revision was the store's newest.
+// Confirm records evidence that at a time revision was the store's newest. It is
+// ignored if the set in force is newer or there is later evidence.
 func (ho *Holder) Confirm(revision store.Revision, at time.Time) {
 	ho.mu.Lock()
 	defer ho.mu.Unlock()
@@ -111,12 +122,14 @@
 	}
 }
 
-// maxEvidenceGap without evidence means that the store is away: a watch that has
-// nothing to report says so more often.
+// maxEvidenceGap is the time without evidence after which the store counts as
+// unavailable. A watch without changes sends progress notifications more often
+// than this.
 const maxEvidenceGap = 3 * time.Second
 
-// StoreAvailableSince gives since when the store has been known to answer, this daemon
-// or another, without a gap. It is in the future while it does not.
+// StoreAvailableSince returns the time since which the store has answered this
+// daemon or one of its peers without a gap of more than maxEvidenceGap. It returns
+// a time after now if the store is unavailable.
 func (ho *Holder) StoreAvailableSince(now time.Time) time.Time {
 	ho.mu.Lock()
 	defer ho.mu.Unlock()
@@ -126,7 +139,7 @@
 	return ho.availableSince
 }
 
-// Evidence gives the latest time at which the set in force is known to have
+// Evidence returns the latest time at which the set in force is known to have
 // been the store's newest.
 func (ho *Holder) Evidence() time.Time {
 	ho.mu.Lock()
--- a/configuration/watcher.go
+++ b/configuration/watcher.go
@@ -12,51 +12,56 @@
 	"tanagerpoint.example/tanager/worker"
 )
 
-// reopenDelay is the least time between two watches.
+// reopenDelay is the pause before the watch is opened again or the records are
+// loaded again.
 const reopenDelay = 200 * time.Millisecond
 
-// Keys gives the places of the configuration in the store.
+// Keys holds the prefix of the configuration in the store and returns the keys
+// under it. It implements Layout.
 type Keys struct {
 	Root store.Key
 }
 
-// Records is the prefix of all policy records.
+// Records returns the prefix of all policy records.
 func (ke Keys) Records() store.Key { return ke.Root + "policy/" }
 
-// Record is the key of one record, from its kind/id.
+// Record returns the store's key of the record with a key of the form kind/id.
 func (ke Keys) Record(key string) store.Key { return ke.Records() + store.Key(key) }
 
-// Head is written by every change; its revision orders the changes.
+// Head returns the key that every change writes, so that its revision orders the
+// changes.
 func (ke Keys) Head() store.Key { return ke.Root + "policy_head" }
 
-// All is a prefix of the records and the head.
+// All returns the common prefix of the records and the head.
 func (ke Keys) All() store.Key { return ke.Root + "policy" }
 
-// History is the prefix of a record's earlier states.
+// History returns the prefix of the past states of the record with a key of the
+// form kind/id.
 func (ke Keys) History(key string) store.Key { return ke.Root + "history/" + store.Key(key) + "/" }
 
-// Layout says where the configuration lies in the store, and which records
-// what lies there makes.
+// Layout maps the store's keys and values to policy records.
 type Layout interface {
-	// Prefix is that of all keys to read and watch.
+	// Prefix returns the prefix of all keys to read and watch.
 	Prefix() store.Key
-	// Complete gives the records of a read of all keys, and the revision up to
-	// which they are complete.
+	// Complete returns the records in a read of all keys, and the revision up
+	// to which they are complete.
 	Complete(pa store.Page) ([]policy.Stored, store.Revision)
-	// Removes tells whether records vanish from the store. Where they do, a
-	// complete read takes away what it lacks.
+	// Removes reports whether records are deleted from the store. If so, a
+	// complete read removes the records that it lacks from the set in force.
 	Removes() bool
-	// Changed gives what watched changes change in a set.
+	// Changed returns the changes to a set that follow from changes seen by a
+	// watch.
 	Changed(se *policy.Set, chs []store.Change) []policy.Stored
 }
 
 // Prefix implements Layout.
 func (ke Keys) Prefix() store.Key { return ke.Records() }
 
-// Removes implements Layout. Records are never removed, only marked deleted.
+// Removes implements Layout. It returns false: records are never deleted from the
+// store, only marked as deleted.
 func (ke Keys) Removes() bool { return false }
 
-// Complete implements Layout.
+// Complete implements Layout. The revision is the greatest of the records.
 func (ke Keys) Complete(pa store.Page) ([]policy.Stored, store.Revision) {
 	var out []policy.Stored
 	newest := store.Revision(0)
@@ -76,35 +81,37 @@
 	return out
 }
 
-// Watcher follows the store's records into a Holder with one watch.
+// Watcher loads the policy records from the store into a Holder and keeps them up
+// to date with one watch.
 type Watcher struct {
 	layout Layout
 	store  store.Store
 	holder *Holder
 	log    *event.Log
-	// batchDelay gives how long to wait for further changes after some came.
+	// batchDelay returns how long to pause after changes have arrived.
 	batchDelay    func() time.Duration
 	watchesOpened atomic.Int64
-	// answeredAt is when the store last answeredAt, failed when it last did not,
-	// in Unix nanoseconds.
+	// answeredAt is the time of the store's last answer and failedAt that of the
+	// last failure, in Unix nanoseconds.
 	answeredAt atomic.Int64
 	failedAt   atomic.Int64
 }
 
-// NewWatcher gives a watcher; Run starts it.
+// NewWatcher returns a watcher; Run starts it.
 func NewWatcher(la Layout, st store.Store, ho *Holder, lo *event.Log) *Watcher {
 	return &Watcher{layout: la, store: st, holder: ho, log: lo, batchDelay: func() time.Duration { return 0 }}
 }
 
-// SetBatchDelay lets changes that come together come in one answer, where the store
-// takes a call for each: after changes the watch rests for the time given. It
-// is called before Run.
+// SetBatchDelay sets a function that returns how long the watch pauses after each
+// answer with changes. For a store that takes one call per answer, changes made
+// during the pause arrive together in the next answer. It must be called before
+// Run.
 func (wa *Watcher) SetBatchDelay(delay func() time.Duration) { wa.batchDelay = delay }
 
-// WatchesOpened counts the watches opened so far.
+// WatchesOpened returns the number of watches opened so far.
 func (wa *Watcher) WatchesOpened() int64 { return wa.watchesOpened.Load() }
 
-// LastAnswer gives when the store last answered.
+// LastAnswer returns the time of the store's last answer.
 func (wa *Watcher) LastAnswer() time.Time { return time.Unix(0, wa.answeredAt.Load()) }
 
 func (wa *Watcher) recordAnswer() { wa.answeredAt.Store(time.Now().UnixNano()) }
@@ -116,7 +123,7 @@
 	wa.failedAt.Store(time.Now().UnixNano())
 }
 
-// Run follows the store until ctx ends.
+// Run loads the records and watches the store until ctx is done.
 func (wa *Watcher) Run(ctx context.Context) {
 	next := store.Revision(0)
 	for ctx.Err() == nil {
@@ -130,7 +137,8 @@
 	}
 }
 
-// load reads all records and gives the revision to watch from, 0 on failure.
+// load reads all records into the holder and returns the revision to watch from,
+// or 0 on failure. It ignores records that are older than the set in force.
 func (wa *Watcher) load(ctx context.Context) store.Revision {
 	asked := time.Now()
 	pa, err := wa.store.Range(ctx, wa.layout.Prefix())
@@ -154,8 +162,9 @@
 	return pa.Revision + 1
 }
 
-// watch watches from a revision and gives the one to go on from, 0 when all
-// records must be read again.
+// watch applies changes from a revision on until the watch ends. It returns the
+// revision to continue from, or 0 if that has been compacted and all records must
+// be loaded again.
 func (wa *Watcher) watch(ctx context.Context, from store.Revision) store.Revision {
 	wa.watchesOpened.Add(1)
 	next := from
--- a/configuration/writer.go
+++ b/configuration/writer.go
@@ -16,68 +16,75 @@
 	"tanagerpoint.example/tanager/store"
 )
 
-// maxApplyAttempts bounds the tries of one change against unrelated ones.
+// maxApplyAttempts is how often Apply tries to commit a request when concurrent
+// changes to other records are committed first.
 const maxApplyAttempts = 16
 
-// maxHistory is how many earlier states of a record are kept.
+// maxHistory is how many states of a record TrimHistory keeps.
 const maxHistory = 50
 
-// ErrFenced marks a change refused because its lease is no longer held.
+// ErrFenced is returned for a change whose fence is a lease that is no longer
+// held.
 var ErrFenced = eris.New("configuration: fencing token is out of date")
 
-// Conflict is a change refused because the record changed in the meantime.
+// Conflict is the error for a change to a record that someone else has changed
+// since its base revision. Mine and Theirs are the JSON of the two states.
 type Conflict struct {
 	Key    string
 	Mine   string
 	Theirs string
-	// TheirBy wrote Theirs.
+	// TheirBy is who wrote Theirs.
 	TheirBy string
 }
 
-// Error gives both sides.
+// Error returns a message with both states of the record.
 func (co *Conflict) Error() string {
 	return fmt.Sprintf("%s was changed by %s in the meantime\n  yours:  %s\n  theirs: %s", co.Key, co.TheirBy, co.Mine, co.Theirs)
 }
 
-// Fence is a lease that must still be held when a change takes effect.
+// Fence names a lease that must still be held when a change is committed: Key must
+// be at revision Token.
 type Fence struct {
 	Key   store.Key
 	Token store.Revision
 }
 
-// Change is one record to write. Base is the revision that it was made from;
-// 0 leaves the comparison to the state that the writer reads first.
+// Change is one record to write. Base is the record's revision that the change was
+// made from. If it is 0, Apply takes the revision that it reads first.
 type Change struct {
 	Record policy.Record
 	Base   store.Revision
 }
 
-// Request is a change of configuration: all of its records or none.
+// Request is a set of changes that is applied as a whole or not at all.
 type Request struct {
 	Changes   []Change
 	ChangedBy string
 	Fence     *Fence
-	// Place names where a record was written, for findings.
+	// Place returns where the record with a key was defined, to name it in
+	// findings. It may be nil.
 	Place func(key string) finding.Place
 }
 
-// Result tells what a change did. Revision is 0 when nothing differed.
+// Result is the outcome of a request. Changed lists the keys of the records
+// written. Revision is 0 if no record differed from the stored one.
 type Result struct {
 	OperationID string
 	Revision    store.Revision
 	Changed     []string
 }
 
-// Writer changes policy records by compare-and-swap on the head.
+// Writer changes policy records with a compare-and-swap on the revision of the
+// head key.
 type Writer struct {
 	keys  Keys
 	store store.Store
 }
 
-// NewWriter gives a writer.
+// NewWriter returns a writer.
 func NewWriter(ke Keys, st store.Store) *Writer { return &Writer{keys: ke, store: st} }
 
-// Load reads all records and the head's revision.
+// Load reads all records and returns them with the revision of the head key.
 func (wr *Writer) Load(ctx context.Context) (*policy.Set, store.Revision, error) {
 	pa, err := wr.store.Range(ctx, wr.keys.All())
 	if err != nil {
@@ -96,9 +103,9 @@
 	return policy.NewSet().With(head, changes), head, nil
 }
 
-// Apply writes the records of a request. The error is a finding.List, a
-// *Conflict, ErrFenced, store.ErrUnavailable (nothing was written) or
-// store.ErrUnknown.
+// Apply writes the records of a request. The error is or wraps a finding.List if
+// the request brings new mistakes, a *Conflict, ErrFenced, store.ErrUnavailable if
+// nothing was written, or store.ErrUnknown if that is not known.
 func (wr *Writer) Apply(ctx context.Context, rq Request) (Result, error) {
 	rs := Result{OperationID: ulid.Make().String()}
 	var first *policy.Set
@@ -134,7 +141,7 @@
 			return rs, eris.Wrap(ErrFenced, "Writer.Apply")
 		}
 	}
-	return rs, eris.Wrap(store.ErrUnavailable, "Writer.Apply: other changes kept coming first")
+	return rs, eris.Wrap(store.ErrUnavailable, "Writer.Apply: every attempt lost to a concurrent change")
 }
 
 func (wr *Writer) result(rs Result, ou store.Outcome, changed []policy.Record) Result {
@@ -145,8 +152,8 @@
 	return rs
 }
 
-// checkConflict refuses the request when a record that it writes has changed since
-// its base, or since the first read.
+// checkConflict returns a *Conflict if a record that the request writes has changed
+// since its base revision or, without one, since the first read.
 func (rq Request) checkConflict(first, now *policy.Set) error {
 	for _, ch := range rq.Changes {
 		ki, id := policy.Kind(ch.Record.GetKind()), ch.Record.GetId()
@@ -166,7 +173,8 @@
 	return nil
 }
 
-// stampChanged gives the records that differ from those stored, with their stamps.
+// stampChanged returns the request's records that differ from the stored ones,
+// each stamped with who changed it, when, and under which operation and fence.
 func (rq Request) stampChanged(se *policy.Set, operation string) ([]policy.Record, error) {
 	st := policy.Stamp{ChangedBy: rq.ChangedBy, OperationID: operation, ChangedAtMS: time.Now().UnixMilli()}
 	if rq.Fence != nil {
@@ -187,8 +195,8 @@
 	return out, nil
 }
 
-// newFindings gives the mistakes that the changes bring. Those that the set
-// has already do not stand in the way of an unrelated change.
+// newFindings returns an error with the findings that the changes introduce.
+// Findings that the set has already do not block an unrelated change.
 func newFindings(se *policy.Set, changed []policy.Record, place func(string) finding.Place) error {
 	if place == nil {
 		place = func(key string) finding.Place { return finding.Place{Section: key} }
@@ -204,6 +212,8 @@
 }
 
 func (wr *Writer) commit(ctx context.Context, rq Request, changed []policy.Record, head store.Revision, operation string) (store.Outcome, error) {
+	// The operation's history key shows whether an attempt whose answer was lost
+	// has been applied.
 	mark := wr.keys.History(changed[0].Key()) + store.Key(operation)
 	co := store.Commit{
 		Compares: []store.Compare{{Key: wr.keys.Head(), ModRevision: head}, {Key: mark}},
@@ -228,7 +238,8 @@
 	})
 }
 
-// History lists a record's states, oldest first.
+// History returns the kept states of the record with a key of the form kind/id,
+// oldest first.
 func (wr *Writer) History(ctx context.Context, key string) ([]policy.Record, error) {
 	pa, err := wr.store.Range(ctx, wr.keys.History(key))
 	if err != nil {
@@ -245,7 +256,7 @@
 	return out, nil
 }
 
-// TrimHistory deletes a record's oldest states beyond those that are kept.
+// TrimHistory deletes the oldest states of a record, so that maxHistory remain.
 func (wr *Writer) TrimHistory(ctx context.Context, key string) error {
 	pa, err := wr.store.Range(ctx, wr.keys.History(key))
 	if err != nil {
