--- a/peer/group.go
+++ b/peer/group.go
@@ -94,6 +94,8 @@
 	syncStates map[string]syncState
 	// lastContact is the time of the last direct exchange with each member.
 	lastContact map[Incarnation]time.Time
+	// lastMembers is the live members at the last call of updateMembers, by role
+	// and VM.
 	lastMembers map[string]Member
 	// currentRevision is the policy revision in force at the start of the last
 	// round, previousRevision the one at the start of the round before.
@@ -109,7 +111,9 @@
 	// items.
 	received int64
 	// sent is this daemon's change counter up to which the peer has its items.
-	sent        int64
+	sent int64
+	// unreachable is set after a failed exchange, so that no further failure is
+	// logged until an exchange with the peer succeeds.
 	unreachable bool
 }
 
@@ -229,12 +233,12 @@
 	defer cancel()
 	asked := time.Now()
 	gr.mu.Lock()
-	pr := gr.syncStates[address]
+	ss := gr.syncStates[address]
 	gr.mu.Unlock()
-	its, change := gr.table.changedSince(pr.sent, asked)
+	its, change := gr.table.changedSince(ss.sent, asked)
 	rs, err := gr.Peer(address).Exchange(ctx, &rpc.ExchangeRequest{
 		From: gr.self(), Items: its,
-		SeenChange: pr.received, SeenIncarnation: pr.incarnation,
+		SeenChange: ss.received, SeenIncarnation: ss.incarnation,
 		PolicyRevision: int64(gr.holder.Set().Revision), PolicyAgeMs: gr.policyAgeMS(asked),
 	})
 	if err != nil {
@@ -244,7 +248,7 @@
 	gr.table.merge(rs.GetItems(), asked)
 	gr.mu.Lock()
 	gr.syncStates[address] = syncState{incarnation: rs.GetFrom().GetIncarnation(), received: rs.GetChange(), sent: change}
-	if pr.incarnation != "" && pr.incarnation != rs.GetFrom().GetIncarnation() {
+	if ss.incarnation != "" && ss.incarnation != rs.GetFrom().GetIncarnation() {
 		// The peer has restarted and does not have the items sent to its predecessor.
 		gr.syncStates[address] = syncState{incarnation: rs.GetFrom().GetIncarnation(), received: rs.GetChange()}
 	}
@@ -256,10 +260,10 @@
 
 func (gr *Group) recordFailure(ctx context.Context, address string, err error) {
 	gr.mu.Lock()
-	pr := gr.syncStates[address]
-	first := !pr.unreachable
-	pr.unreachable = true
-	gr.syncStates[address] = pr
+	ss := gr.syncStates[address]
+	first := !ss.unreachable
+	ss.unreachable = true
+	gr.syncStates[address] = ss
 	gr.mu.Unlock()
 	if first && ctx.Err() == nil {
 		gr.log.Debug(event.PeerUnreachable, err, event.Fields{"address": address})
@@ -278,9 +282,9 @@
 }
 
 // Do adds the shared key to a request and sends it.
-func (au bearerClient) Do(rq *http.Request) (*http.Response, error) {
-	rq.Header.Set("Authorization", bearer+au.key)
-	rs, err := au.client.Do(rq) //nolint:gosec // peers' addresses come from the settings, the VM list and peers
+func (bc bearerClient) Do(rq *http.Request) (*http.Response, error) {
+	rq.Header.Set("Authorization", bearer+bc.key)
+	rs, err := bc.client.Do(rq) //nolint:gosec // peers' addresses come from the settings, the VM list and peers
 	if err != nil {
 		return nil, eris.Wrap(err, "peer")
 	}
