--- a/bill/hold.go
+++ b/bill/hold.go
@@ -9,7 +9,8 @@
 	"tanagerpoint.example/tanager/rpc"
 )
 
-// Hold implements peer.Bills.
+// Hold implements peer.Bills. It stores copies of a peer's bills, and deletes the
+// copies of the batches that the peer has sealed.
 func (bo *Book) Hold(rq *rpc.HoldBillsRequest) {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
@@ -26,15 +27,15 @@
 	}
 }
 
-// adopt seals the held batches of owners that are not heard of any more, and
-// those whose owner sent no notification.
+// adopt seals the held batches of failed owners, and those whose owner sent no
+// notification in time. It stops at the first error.
 func (bo *Book) adopt(ctx context.Context) {
 	for key, hb := range bo.adoptable() {
 		if err := bo.seal(ctx, key.incarnation, key.number, hb.bills); err != nil {
 			bo.log.Debug(event.BillsUnsealed, err, event.Fields{"owner": key.incarnation, "batch": key.number})
 			return
 		}
-		bo.drop(key, len(hb.bills))
+		bo.dropCopies(key, len(hb.bills))
 		bo.log.Info(event.BillsAdopted, event.Fields{"owner": key.incarnation, "batch": key.number, "bills": len(hb.bills)})
 	}
 }
@@ -45,7 +46,7 @@
 	defer bo.mu.Unlock()
 	out := map[heldKey]heldBatch{}
 	for key, hb := range bo.held {
-		heard, ok := bo.peers.Heard(key.incarnation)
+		heard, ok := bo.peers.LastHeard(key.incarnation)
 		if !ok || now.Sub(heard) > adoptAfter || now.After(hb.checkAt) {
 			out[key] = hb
 		}
@@ -53,8 +54,9 @@
 	return out
 }
 
-// drop forgets the first n copies of a batch: more may have come since.
-func (bo *Book) drop(key heldKey, n int) {
+// dropCopies deletes the first n copies of a batch. It keeps the rest, which
+// arrived while those were being sealed.
+func (bo *Book) dropCopies(key heldKey, n int) {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
 	hb := bo.held[key]
--- a/configuration/watcher.go
+++ b/configuration/watcher.go
@@ -12,56 +12,61 @@
 	"tanagerpoint.example/tanager/worker"
 )
 
-// reopenWait is the least time between two watches.
-const reopenWait = 200 * time.Millisecond
+// reopenDelay is the pause before the watch is opened again or the records are
+// loaded again.
+const reopenDelay = 200 * time.Millisecond
 
-// Keys gives the places of the configuration in the store.
+// Keys holds the prefix of the configuration in the store and returns the keys
+// under it. It implements Layout.
 type Keys struct {
 	Root store.Key
 }
 
-// Records is the prefix of all policy records.
+// Records returns the prefix of all policy records.
 func (ke Keys) Records() store.Key { return ke.Root + "policy/" }
 
-// Record is the key of one record, from its kind/id.
+// Record returns the store's key of the record with a key of the form kind/id.
 func (ke Keys) Record(key string) store.Key { return ke.Records() + store.Key(key) }
 
-// Head is written by every change; its revision orders the changes.
+// Head returns the key that every change writes, so that its revision orders the
+// changes.
 func (ke Keys) Head() store.Key { return ke.Root + "policy_head" }
 
-// All is a prefix of the records and the head.
+// All returns the common prefix of the records and the head.
 func (ke Keys) All() store.Key { return ke.Root + "policy" }
 
-// History is the prefix of a record's earlier states.
+// History returns the prefix of the past states of the record with a key of the
+// form kind/id.
 func (ke Keys) History(key string) store.Key { return ke.Root + "history/" + store.Key(key) + "/" }
 
-// Layout says where the configuration lies in the store, and which records
-// what lies there makes.
+// Layout maps the store's keys and values to policy records.
 type Layout interface {
-	// Prefix is that of all keys to read and watch.
+	// Prefix returns the prefix of all keys to read and watch.
 	Prefix() store.Key
-	// Complete gives the records of a read of all keys, and the revision up to
-	// which they are complete.
+	// Complete returns the records in a read of all keys, and the revision up
+	// to which they are complete.
 	Complete(pa store.Page) ([]policy.Stored, store.Revision)
-	// Removes tells whether records vanish from the store. Where they do, a
-	// complete read takes away what it lacks.
+	// Removes reports whether records are deleted from the store. If so, a
+	// complete read removes the records that it lacks from the set in force.
 	Removes() bool
-	// Changed gives what watched changes change in a set.
+	// Changed returns the changes to a set that follow from changes seen by a
+	// watch.
 	Changed(se *policy.Set, chs []store.Change) []policy.Stored
 }
 
 // Prefix implements Layout.
 func (ke Keys) Prefix() store.Key { return ke.Records() }
 
-// Removes implements Layout. Records are never removed, only marked deleted.
+// Removes implements Layout. It returns false: records are never deleted from the
+// store, only marked as deleted.
 func (ke Keys) Removes() bool { return false }
 
-// Complete implements Layout.
+// Complete implements Layout. The revision is the greatest of the records.
 func (ke Keys) Complete(pa store.Page) ([]policy.Stored, store.Revision) {
 	var out []policy.Stored
 	newest := store.Revision(0)
 	for _, kv := range pa.KeyValues {
-		out = append(out, ke.stored(kv))
+		out = append(out, ke.toStored(kv))
 		newest = max(newest, kv.ModRevision)
 	}
 	return out, newest
@@ -71,52 +76,54 @@
 func (ke Keys) Changed(_ *policy.Set, chs []store.Change) []policy.Stored {
 	var out []policy.Stored
 	for _, ch := range chs {
-		out = append(out, ke.stored(ch.KeyValue))
+		out = append(out, ke.toStored(ch.KeyValue))
 	}
 	return out
 }
 
-// Watcher follows the store's records into a Holder with one watch.
+// Watcher loads the policy records from the store into a Holder and keeps them up
+// to date with one watch.
 type Watcher struct {
 	layout Layout
 	store  store.Store
 	holder *Holder
 	log    *event.Log
-	// gather gives how long to wait for further changes after some came.
-	gather func() time.Duration
-	opened atomic.Int64
-	// answered is when the store last answered, failed when it last did not,
-	// in Unix nanoseconds.
-	answered atomic.Int64
-	failed   atomic.Int64
+	// batchDelay returns how long to pause after changes have arrived.
+	batchDelay    func() time.Duration
+	watchesOpened atomic.Int64
+	// answeredAt is the time of the store's last answer and failedAt that of the
+	// last failure, in Unix nanoseconds.
+	answeredAt atomic.Int64
+	failedAt   atomic.Int64
 }
 
-// NewWatcher gives a watcher; Run starts it.
+// NewWatcher returns a watcher; Run starts it.
 func NewWatcher(la Layout, st store.Store, ho *Holder, lo *event.Log) *Watcher {
-	return &Watcher{layout: la, store: st, holder: ho, log: lo, gather: func() time.Duration { return 0 }}
+	return &Watcher{layout: la, store: st, holder: ho, log: lo, batchDelay: func() time.Duration { return 0 }}
 }
 
-// GatherBy lets changes that come together come in one answer, where the store
-// takes a call for each: after changes the watch rests for the time given. It
-// is called before Run.
-func (wa *Watcher) GatherBy(gather func() time.Duration) { wa.gather = gather }
+// SetBatchDelay sets a function that returns how long the watch pauses after each
+// answer with changes. For a store that takes one call per answer, changes made
+// during the pause arrive together in the next answer. It must be called before
+// Run.
+func (wa *Watcher) SetBatchDelay(delay func() time.Duration) { wa.batchDelay = delay }
 
-// Opened counts the watches opened so far.
-func (wa *Watcher) Opened() int64 { return wa.opened.Load() }
+// WatchesOpened returns the number of watches opened so far.
+func (wa *Watcher) WatchesOpened() int64 { return wa.watchesOpened.Load() }
 
-// Answered gives when the store last answered.
-func (wa *Watcher) Answered() time.Time { return time.Unix(0, wa.answered.Load()) }
+// LastAnswer returns the time of the store's last answer.
+func (wa *Watcher) LastAnswer() time.Time { return time.Unix(0, wa.answeredAt.Load()) }
 
-func (wa *Watcher) noteAnswer() { wa.answered.Store(time.Now().UnixNano()) }
+func (wa *Watcher) recordAnswer() { wa.answeredAt.Store(time.Now().UnixNano()) }
 
-func (wa *Watcher) noteFailure() {
-	if at, failed := wa.answered.Load(), wa.failed.Load(); at >= failed {
+func (wa *Watcher) recordFailure() {
+	if at, failed := wa.answeredAt.Load(), wa.failedAt.Load(); at >= failed {
 		wa.log.Warn(event.StoreLost, nil, event.Fields{"last_answer": time.Unix(0, at)})
 	}
-	wa.failed.Store(time.Now().UnixNano())
+	wa.failedAt.Store(time.Now().UnixNano())
 }
 
-// Run follows the store until ctx ends.
+// Run loads the records and watches the store until ctx is done.
 func (wa *Watcher) Run(ctx context.Context) {
 	next := store.Revision(0)
 	for ctx.Err() == nil {
@@ -124,22 +131,23 @@
 			next = wa.load(ctx)
 		}
 		if next > 0 {
-			next = wa.follow(ctx, next)
+			next = wa.watch(ctx, next)
 		}
-		worker.Sleep(ctx, reopenWait)
+		worker.Sleep(ctx, reopenDelay)
 	}
 }
 
-// load reads all records and gives the revision to watch from, 0 on failure.
+// load reads all records into the holder and returns the revision to watch from,
+// or 0 on failure. It ignores records that are older than the set in force.
 func (wa *Watcher) load(ctx context.Context) store.Revision {
 	asked := time.Now()
 	pa, err := wa.store.Range(ctx, wa.layout.Prefix())
 	if err != nil {
-		wa.noteFailure()
+		wa.recordFailure()
 		wa.log.Warn(event.StoreUnreachable, err, nil)
 		return 0
 	}
-	wa.noteAnswer()
+	wa.recordAnswer()
 	records, newest := wa.layout.Complete(pa)
 	if newest < wa.holder.Set().Revision {
 		wa.log.Warn(event.StoreBehind, nil, event.Fields{"store": newest, "in_force": wa.holder.Set().Revision})
@@ -154,19 +162,20 @@
 	return pa.Revision + 1
 }
 
-// follow watches from a revision and gives the one to go on from, 0 when all
-// records must be read again.
-func (wa *Watcher) follow(ctx context.Context, from store.Revision) store.Revision {
-	wa.opened.Add(1)
+// watch applies changes from a revision on until the watch ends. It returns the
+// revision to continue from, or 0 if that has been compacted and all records must
+// be loaded again.
+func (wa *Watcher) watch(ctx context.Context, from store.Revision) store.Revision {
+	wa.watchesOpened.Add(1)
 	next := from
 	err := wa.store.Watch(ctx, wa.layout.Prefix(), from, func(no store.Notice) {
-		wa.noteAnswer()
+		wa.recordAnswer()
 		if len(no.Changes) > 0 {
-			wa.holder.Follow(func(se *policy.Set) []policy.Stored { return wa.layout.Changed(se, no.Changes) })
+			wa.holder.UpdateFunc(func(se *policy.Set) []policy.Stored { return wa.layout.Changed(se, no.Changes) })
 		}
 		next = max(next, no.Revision+1)
 		wa.holder.Confirm(wa.holder.Set().Revision, time.Now())
-		if rest := wa.gather(); rest > 0 && len(no.Changes) > 0 {
+		if rest := wa.batchDelay(); rest > 0 && len(no.Changes) > 0 {
 			worker.Sleep(ctx, rest)
 		}
 	})
@@ -177,11 +186,11 @@
 	if isCompacted(err) {
 		return 0
 	}
-	wa.noteFailure()
+	wa.recordFailure()
 	return next
 }
 
-func (ke Keys) stored(kv store.KeyValue) policy.Stored {
+func (ke Keys) toStored(kv store.KeyValue) policy.Stored {
 	return policy.Stored{
 		Key:         strings.TrimPrefix(string(kv.Key), string(ke.Records())),
 		Value:       kv.Value,
--- a/entry/cascades.go
+++ b/entry/cascades.go
@@ -54,7 +54,7 @@
 // published since the last call, and removes choosers whose cascade is not in the
 // policy.
 func (ca *cascades) refresh(se *policy.Set) {
-	its := ca.peers.Board().Under(RatingsPrefix)
+	its := ca.peers.Table().List(RatingsPrefix)
 	ca.mu.Lock()
 	defer ca.mu.Unlock()
 	for _, it := range its {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -140,7 +140,7 @@
 	}
 	opt := peer.OptionsOf(es, peer.RoleEntry)
 	opt.Self.CallersAddress = public
-	opt.Listed, opt.Describe = da.vms.EntryAddresses, da.describeMember
+	opt.PeerAddresses, opt.Describe = da.vms.EntryAddresses, da.describeMember
 	return opt
 }
 
--- a/entry/pool.go
+++ b/entry/pool.go
@@ -255,7 +255,7 @@
 		if !mb.Draining || mb.InFlight > 0 {
 			re.entries++
 		}
-		if it, ok := po.daemon.peers.Board().Get(usagePrefix + string(mb.VM)); ok {
+		if it, ok := po.daemon.peers.Table().Get(usagePrefix + string(mb.VM)); ok {
 			seen[it.Key] = it.Version
 			re.addItem(it)
 		}
--- /dev/null
+++ b/peer/run.go
@@ -0,0 +1,80 @@
+package peer
+
+import (
+	"context"
+	"math/rand/v2"
+	"time"
+
+	"tanagerpoint.example/tanager/worker"
+)
+
+const (
+	// smallGroup is the largest number of daemons that exchange at the configured
+	// interval. In larger groups the interval grows with the number of daemons,
+	// so that the amount each sends per second does not.
+	smallGroup = 24
+	// notifyFanout is how many peers a daemon of a large group notifies at once of
+	// a new policy set. Since each of them does the same, nearly all daemons know
+	// of it after a few hops.
+	notifyFanout = 3
+)
+
+// Run exchanges with peers until ctx is done, once per interval and at once
+// when a new policy set comes into force.
+func (gr *Group) Run(ctx context.Context) {
+	for ctx.Err() == nil {
+		changed := gr.holder.Changed()
+		tm := time.NewTimer(gr.ScaleInterval(gr.opt.Interval))
+		gr.publishSelf()
+		gr.exchangeRound(ctx)
+		gr.updateMembers()
+		gr.waitRound(ctx, changed, tm.C)
+		tm.Stop()
+	}
+}
+
+// waitRound blocks until the next round is due. In a large group a new policy
+// set does not start a round; some peers are notified of its revision alone.
+func (gr *Group) waitRound(ctx context.Context, changed <-chan struct{}, due <-chan time.Time) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-due:
+			return
+		case address := <-gr.aheadPeers:
+			gr.exchangeRevisions(ctx, address)
+		case <-changed:
+			if !gr.Large() {
+				return
+			}
+			changed = gr.holder.Changed()
+			gr.notifyPeers(ctx)
+		}
+	}
+}
+
+// ScaleInterval returns an interval multiplied by size/smallGroup if the group
+// has more than smallGroup daemons, and unchanged otherwise.
+func (gr *Group) ScaleInterval(interval time.Duration) time.Duration {
+	return interval * time.Duration(max(smallGroup, gr.size.Load())) / smallGroup
+}
+
+// Large reports whether the group has more than smallGroup daemons: too many for
+// each to have up-to-date knowledge of the load of every other one.
+func (gr *Group) Large() bool { return gr.size.Load() > smallGroup }
+
+// notifyPeers exchanges policy revisions with notifyFanout random peers.
+func (gr *Group) notifyPeers(ctx context.Context) {
+	wg := worker.NewGroup()
+	for _, mb := range gr.randomMembers(notifyFanout) {
+		wg.Go(func(context.Context) { gr.exchangeRevisions(ctx, mb.PeerAddress) })
+	}
+	wg.Wait()
+}
+
+func (gr *Group) randomMembers(n int) []Member {
+	mbs := gr.Members()
+	rand.Shuffle(len(mbs), func(i, j int) { mbs[i], mbs[j] = mbs[j], mbs[i] })
+	return mbs[:min(n, len(mbs))]
+}
