--- a/admission/admission.go
+++ b/admission/admission.go
@@ -34,9 +34,9 @@
 // without demand keeps, so that its first requests need not wait.
 const leastShare = 0.5
 
-// ShareOf gives the part of a pool's slots for one of several entries: by its
+// CapacityShare gives the part of a pool's slots for one of several entries: by its
 // part of the demand, and at least a part of an equal share.
-func ShareOf(entries int, mine, others float64) float64 {
+func CapacityShare(entries int, mine, others float64) float64 {
 	equal := 1 / float64(entries)
 	if mine+others <= 0 {
 		return equal
@@ -98,11 +98,11 @@
 
 // The reasons.
 const (
-	ReasonLate       Reason = "deadline_unreachable"
-	ReasonQueueFull  Reason = "queue_full"
-	ReasonNoCapacity Reason = "no_capacity"
-	ReasonRank       Reason = "unknown_rank"
-	ReasonInFlight   Reason = "organisation_limit"
+	ReasonDeadlineUnreachable Reason = "deadline_unreachable"
+	ReasonQueueFull           Reason = "queue_full"
+	ReasonNoCapacity          Reason = "no_capacity"
+	ReasonUnknownRank         Reason = "unknown_rank"
+	ReasonOrganisationLimit   Reason = "organisation_limit"
 )
 
 // Refusal is a request that was not run. RetryAt is when to come back.
--- a/admission/gate.go
+++ b/admission/gate.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// Gate puts a Queue behind blocking calls.
+// Controller puts a Queue behind blocking calls.
 //
 // mu guards the queue. No other lock is taken while it is held.
-type Gate struct {
+type Controller struct {
 	mu    sync.Mutex
 	queue *Queue
 }
 
-// NewGate gives a gate before an empty queue.
-func NewGate(maxWaiting int) *Gate {
-	return &Gate{queue: NewQueue(time.Now(), maxWaiting, rand.Float64())}
+// NewController gives a gate before an empty queue.
+func NewController(maxWaiting int) *Controller {
+	return &Controller{queue: NewQueue(time.Now(), maxWaiting, rand.Float64())}
 }
 
-// Enter waits until a request may run. The error is a *Refusal, or ctx's when
+// Acquire waits until a request may run. The error is a *Refusal, or ctx's when
 // the caller has gone; Leave must follow only when there is none.
-func (ga *Gate) Enter(ctx context.Context, ti *Ticket) error {
+func (ga *Controller) Acquire(ctx context.Context, ti *Ticket) error {
 	ti.wake = make(chan *Refusal, 1)
 	ga.change(func(qu *Queue, now time.Time) []*Refusal { return qu.Offer(now, ti) })
 	select {
@@ -42,7 +42,7 @@
 	if re := <-ti.wake; re != nil {
 		return re
 	}
-	ga.Leave(ti, 0)
+	ga.Release(ti, 0)
 	return ctx.Err()
 }
 
@@ -53,16 +53,16 @@
 	return re
 }
 
-// Leave ends a request in service; actual is what it cost.
-func (ga *Gate) Leave(ti *Ticket, actual Cost) {
+// Release ends a request in service; actual is what it cost.
+func (ga *Controller) Release(ti *Ticket, actual Cost) {
 	ga.change(func(qu *Queue, now time.Time) []*Refusal {
 		qu.Done(now, ti, actual)
 		return nil
 	})
 }
 
-// Change runs fn on the queue, and then starts what may run.
-func (ga *Gate) Change(fn func(qu *Queue, now time.Time)) {
+// Update runs fn on the queue, and then starts what may run.
+func (ga *Controller) Update(fn func(qu *Queue, now time.Time)) {
 	ga.change(func(qu *Queue, now time.Time) []*Refusal {
 		fn(qu, now)
 		return nil
@@ -71,16 +71,16 @@
 
 // Tick refuses what waits in vain and starts what may run. It must be called
 // regularly: floors and headrooms change with time alone.
-func (ga *Gate) Tick() {
+func (ga *Controller) Tick() {
 	ga.change(func(qu *Queue, now time.Time) []*Refusal { return qu.Expire(now) })
 }
 
-func (ga *Gate) change(fn func(qu *Queue, now time.Time) []*Refusal) {
+func (ga *Controller) change(fn func(qu *Queue, now time.Time) []*Refusal) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	now := time.Now()
 	refused := fn(ga.queue, now)
-	started, late := ga.queue.Next(now)
+	started, late := ga.queue.Dispatch(now)
 	for _, re := range append(refused, late...) {
 		re.Ticket.wake <- re
 	}
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -148,7 +148,7 @@
 	qu.advance(now)
 	rq := qu.rank(ti.Rank)
 	if rq == nil {
-		return []*Refusal{{Ticket: ti, Reason: ReasonRank, RetryAt: now.Add(minRetryWait)}}
+		return []*Refusal{{Ticket: ti, Reason: ReasonUnknownRank, RetryAt: now.Add(minRetryWait)}}
 	}
 	if qu.capacity <= 0 {
 		return []*Refusal{{Ticket: ti, Reason: ReasonNoCapacity, RetryAt: now.Add(noCapacityWait)}}
@@ -156,7 +156,7 @@
 	or := rq.org(ti.Organisation, ti.Share)
 	startAt := qu.expectedStart(now, rq, or, ti.Cost)
 	if startAt.After(ti.LatestStart) {
-		return []*Refusal{qu.refusal(now, ti, ReasonLate, startAt.Sub(ti.LatestStart))}
+		return []*Refusal{qu.refusal(now, ti, ReasonDeadlineUnreachable, startAt.Sub(ti.LatestStart))}
 	}
 	var out []*Refusal
 	if qu.waiting >= qu.maxWait {
@@ -234,9 +234,9 @@
 	return worst
 }
 
-// Next gives the requests that start now, and those that can no longer be
+// Dispatch gives the requests that start now, and those that can no longer be
 // answered in time and are refused.
-func (qu *Queue) Next(now time.Time) (started []*Ticket, refused []*Refusal) {
+func (qu *Queue) Dispatch(now time.Time) (started []*Ticket, refused []*Refusal) {
 	qu.advance(now)
 	for qu.waiting > 0 && qu.capacity > 0 {
 		rq := qu.nextRank()
@@ -246,7 +246,7 @@
 		ti := rq.ready[0].wait[0]
 		qu.remove(ti)
 		if now.After(ti.LatestStart) {
-			refused = append(refused, qu.refusal(now, ti, ReasonLate, minRetryWait))
+			refused = append(refused, qu.refusal(now, ti, ReasonDeadlineUnreachable, minRetryWait))
 			continue
 		}
 		qu.start(now, ti)
@@ -271,7 +271,7 @@
 	var out []*Refusal
 	for _, ti := range late {
 		qu.remove(ti)
-		out = append(out, qu.refusal(now, ti, ReasonLate, minRetryWait))
+		out = append(out, qu.refusal(now, ti, ReasonDeadlineUnreachable, minRetryWait))
 	}
 	return out
 }
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -81,7 +81,7 @@
 			case 5:
 				note(nil, qu.Expire(now))
 			}
-			note(qu.Next(now))
+			note(qu.Dispatch(now))
 			counts := map[string]int{}
 			for _, st := range state {
 				counts[st]++
@@ -117,10 +117,10 @@
 
 func TestRefusalsComeAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ga := admission.NewGate(10)
+		ga := admission.NewController(10)
 		enter := func(rank policy.RankID, latest time.Duration) error {
 			started := time.Now()
-			err := ga.Enter(t.Context(), &admission.Ticket{Organisation: "o", Share: 1, Rank: rank, Cost: 10, LatestStart: started.Add(latest)})
+			err := ga.Acquire(t.Context(), &admission.Ticket{Organisation: "o", Share: 1, Rank: rank, Cost: 10, LatestStart: started.Add(latest)})
 			qt.Check(t, time.Since(started) == 0, qt.IsTrue, qt.Commentf("held for %s", time.Since(started)))
 			return err
 		}
@@ -130,19 +130,19 @@
 			qt.Assert(t, re.RetryAt.After(time.Now()), qt.IsTrue)
 			return re.Reason
 		}
-		qt.Assert(t, reason(enter("urgent", time.Minute)), qt.Equals, admission.ReasonRank)
-		ga.Change(func(qu *admission.Queue, _ time.Time) { qu.SetRanks(ranks()) })
+		qt.Assert(t, reason(enter("urgent", time.Minute)), qt.Equals, admission.ReasonUnknownRank)
+		ga.Update(func(qu *admission.Queue, _ time.Time) { qu.SetRanks(ranks()) })
 		qt.Assert(t, reason(enter("urgent", time.Minute)), qt.Equals, admission.ReasonNoCapacity)
-		ga.Change(func(qu *admission.Queue, now time.Time) { qu.SetCapacity(now, 1) })
+		ga.Update(func(qu *admission.Queue, now time.Time) { qu.SetCapacity(now, 1) })
 		qt.Assert(t, enter("urgent", time.Minute), qt.IsNil)
-		qt.Assert(t, reason(enter("urgent", -time.Second)), qt.Equals, admission.ReasonLate)
+		qt.Assert(t, reason(enter("urgent", -time.Second)), qt.Equals, admission.ReasonDeadlineUnreachable)
 	})
 }
 
 func TestCallerThatLeavesTheQueueTakesNoSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ga := admission.NewGate(10)
-		ga.Change(func(qu *admission.Queue, now time.Time) {
+		ga := admission.NewController(10)
+		ga.Update(func(qu *admission.Queue, now time.Time) {
 			qu.SetRanks(ranks())
 			qu.SetCapacity(now, 1)
 		})
@@ -150,12 +150,12 @@
 			return &admission.Ticket{Organisation: "o", Share: 1, Rank: "urgent", Cost: 1, LatestStart: time.Now().Add(time.Hour)}
 		}
 		first := ticket()
-		qt.Assert(t, ga.Enter(t.Context(), first), qt.IsNil)
+		qt.Assert(t, ga.Acquire(t.Context(), first), qt.IsNil)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		qt.Assert(t, ga.Enter(ctx, ticket()), qt.IsNotNil)
-		ga.Leave(first, 1)
-		qt.Assert(t, ga.Enter(t.Context(), ticket()), qt.IsNil)
+		qt.Assert(t, ga.Acquire(ctx, ticket()), qt.IsNotNil)
+		ga.Release(first, 1)
+		qt.Assert(t, ga.Acquire(t.Context(), ticket()), qt.IsNil)
 	})
 }
 
@@ -172,7 +172,7 @@
 					qu.Offer(start, &admission.Ticket{Organisation: policy.OrganisationID(fmt.Sprint(i)), Share: 1, Rank: "bulk", Cost: 10, LatestStart: start.Add(1 << 50)})
 				}
 			}
-			started, _ := qu.Next(start)
+			started, _ := qu.Dispatch(start)
 			now := start
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
@@ -180,7 +180,7 @@
 				qu.Done(now, started[0], 10)
 				qu.Offer(now, &admission.Ticket{Organisation: started[0].Organisation, Share: 1, Rank: "bulk", Cost: 10, LatestStart: now.Add(1 << 50)})
 				for {
-					if next, _ := qu.Next(now); len(next) > 0 {
+					if next, _ := qu.Dispatch(now); len(next) > 0 {
 						started = next
 						break
 					}
--- a/entry/admin.go
+++ b/entry/admin.go
@@ -86,7 +86,7 @@
 		st.PolicyFindings = append(st.PolicyFindings, fi.String())
 	}
 	da.pools.each(func(id poolID, pl *pool) {
-		pl.gate.Change(func(qu *admission.Queue, _ time.Time) {
+		pl.gate.Update(func(qu *admission.Queue, _ time.Time) {
 			running, waiting := qu.Load()
 			st.Pools[string(id)] = PoolState{Running: running, Waiting: waiting, Capacity: float64(qu.Capacity())}
 		})
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -165,7 +165,7 @@
 func (at *attempts) succeeded(ctx context.Context, en policy.Endpoint, st *endpoint.Stream, sentAt time.Time) {
 	da := at.daemon
 	if lo := st.Load(); lo.Known {
-		da.tracker.Report(time.Now(), en, lo.Utilisation)
+		da.tracker.RecordUtilisation(time.Now(), en, lo.Utilisation)
 	}
 	at.log.add("%s answers", en.ID)
 	da.metrics.Attempts.Add(ctx, 1, metric.With(metric.KeyOutcome, "answered", metric.KeyCause, ""))
--- a/entry/caller.go
+++ b/entry/caller.go
@@ -272,13 +272,13 @@
 	}
 	pr := problem{status: http.StatusTooManyRequests, code: string(re.Reason), retryAt: re.RetryAt}
 	switch re.Reason {
-	case admission.ReasonLate:
+	case admission.ReasonDeadlineUnreachable:
 		pr.message = "the deadline cannot be met"
 	case admission.ReasonQueueFull:
 		pr.message = "the queue is full"
 	case admission.ReasonNoCapacity:
 		pr.status, pr.message = http.StatusServiceUnavailable, "no endpoint can take it now"
-	case admission.ReasonRank:
+	case admission.ReasonUnknownRank:
 		pr.status, pr.message = http.StatusServiceUnavailable, "the rank is not known to this pool yet"
 	}
 	return pr
--- a/entry/inflight.go
+++ b/entry/inflight.go
@@ -29,7 +29,7 @@
 	part := (or.MaxInFlight + int64(entries) - 1) / int64(entries)
 	if or.MaxInFlight > 0 && in.counts[or.ID] >= part {
 		return &problem{
-			status: http.StatusTooManyRequests, code: string(admission.ReasonInFlight),
+			status: http.StatusTooManyRequests, code: string(admission.ReasonOrganisationLimit),
 			message: "the organisation has as many requests in service as it may", retryAt: time.Now().Add(overloadedRetry),
 		}
 	}
--- a/entry/pool.go
+++ b/entry/pool.go
@@ -34,7 +34,7 @@
 
 // pool is one queue and what it knows of its answers' pace.
 type pool struct {
-	gate *admission.Gate
+	gate *admission.Controller
 	// mu guards paces.
 	mu    sync.Mutex
 	paces map[policy.RankID]pace
@@ -85,7 +85,7 @@
 	pl, ok := po.byID[id]
 	if !ok {
 		pl = &pool{
-			gate:  admission.NewGate(int(po.daemon.set.GetServing().GetMaxQueue())),
+			gate:  admission.NewController(int(po.daemon.set.GetServing().GetMaxQueue())),
 			paces: map[policy.RankID]pace{},
 		}
 		po.byID[id] = pl
@@ -148,7 +148,7 @@
 		po.members[id] = placement.NewPool(ens)
 	}
 	po.revision = se.Revision
-	po.daemon.tracker.Keep(func(id policy.EndpointID) bool {
+	po.daemon.tracker.Prune(func(id policy.EndpointID) bool {
 		_, ok := se.Endpoints.ByID(id)
 		return ok
 	})
@@ -168,12 +168,12 @@
 	po.mu.Unlock()
 	re := po.remote()
 	if re.changed {
-		po.daemon.tracker.SetOthers(time.Now(), re.inFlight)
+		po.daemon.tracker.SetPeerInFlight(time.Now(), re.inFlight)
 	}
 	for id, pl := range queues {
 		slots := po.slots(members[id])
-		capacity := slots * admission.ShareOf(re.entries, pl.demand(), re.demand[id])
-		pl.gate.Change(func(qu *admission.Queue, now time.Time) {
+		capacity := slots * admission.CapacityShare(re.entries, pl.demand(), re.demand[id])
+		pl.gate.Update(func(qu *admission.Queue, now time.Time) {
 			qu.SetRanks(ranks)
 			qu.SetCapacity(now, admission.Slots(capacity))
 			if re.changed {
@@ -280,7 +280,7 @@
 
 func (pl *pool) demand() float64 {
 	demand := 0.0
-	pl.gate.Change(func(qu *admission.Queue, _ time.Time) {
+	pl.gate.Update(func(qu *admission.Queue, _ time.Time) {
 		running, waiting := qu.Load()
 		demand = float64(running + waiting)
 	})
@@ -305,7 +305,7 @@
 // usage gives the report on a queue for the other entries.
 func (pl *pool) usage(id poolID) *rpc.PoolUsage {
 	pu := &rpc.PoolUsage{Pool: string(id), Demand: pl.demand()}
-	pl.gate.Change(func(qu *admission.Queue, now time.Time) {
+	pl.gate.Update(func(qu *admission.Queue, now time.Time) {
 		re := qu.Report(now)
 		for _, ou := range re.Organisations {
 			pu.Organisations = append(pu.Organisations, &rpc.OrganisationUsage{
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -70,13 +70,13 @@
 	if pr != nil {
 		return pr
 	}
-	if err := pl.gate.Enter(ctx, ti); err != nil {
+	if err := pl.gate.Acquire(ctx, ti); err != nil {
 		pr := admissionProblem(err)
 		return &pr
 	}
 	da.metrics.QueueWait.Record(co, time.Since(ch.arrived).Seconds(), metric.With(metric.KeyRank, string(ch.rank.ID)))
 	served := admission.Cost(0)
-	defer func() { pl.gate.Leave(ti, served) }()
+	defer func() { pl.gate.Release(ti, served) }()
 	startedAt := time.Now()
 	at := &attempts{daemon: da, chat: ch, target: tg, log: ex}
 	op, err := at.open(ctx)
--- a/entry/service.go
+++ b/entry/service.go
@@ -105,11 +105,11 @@
 	if pr != nil {
 		return pr
 	}
-	if err := pl.gate.Enter(ctx, ti); err != nil {
+	if err := pl.gate.Acquire(ctx, ti); err != nil {
 		pr := admissionProblem(err)
 		return &pr
 	}
-	defer pl.gate.Leave(ti, 1)
+	defer pl.gate.Release(ti, 1)
 	if ca.repeatable() || ca.idempotency == "" {
 		return da.runCall(ctx, co, ca, nil)
 	}
@@ -212,7 +212,7 @@
 		da.log.Debug(event.AttemptFailed, err, event.Fields{"request": ca.id, "endpoint": en.ID})
 	}
 	if an.Load.Known {
-		da.tracker.Report(time.Now(), en, an.Load.Utilisation)
+		da.tracker.RecordUtilisation(time.Now(), en, an.Load.Utilisation)
 	}
 	da.endpointDone(en.ID, result)
 	return en, an, nil, err
--- a/measure/fleet.go
+++ b/measure/fleet.go
@@ -92,7 +92,7 @@
 		total += demands[n]
 	}
 	for n, qu := range fl.queues {
-		share := admission.ShareOf(len(fl.queues), demands[n], total-demands[n])
+		share := admission.CapacityShare(len(fl.queues), demands[n], total-demands[n])
 		qu.setCapacity(fl.now, share*float64(fl.site.replicas*fl.site.slots))
 	}
 	fl.exchangeUsage()
--- a/measure/placement.go
+++ b/measure/placement.go
@@ -216,7 +216,7 @@
 		hash := placement.HashPrefix("o", "v", fmt.Append(nil, prefix))
 		en, _ := trackers[n].Choose(pl.now, pool, hash, nil, usable)
 		i := slices.IndexFunc(ens, func(other policy.Endpoint) bool { return other.ID == en.ID })
-		trackers[n].Report(pl.now, en, float64(pl.engines[i].stale())/float64(pl.slots))
+		trackers[n].RecordUtilisation(pl.now, en, float64(pl.engines[i].stale())/float64(pl.slots))
 		return i, func() { trackers[n].Done(pl.now, en.ID, placement.Succeeded) }
 	}
 }
@@ -242,7 +242,7 @@
 				others[id] += count
 			}
 		}
-		tr.SetOthers(now, others)
+		tr.SetPeerInFlight(now, others)
 	}
 }
 
--- a/measure/scheduler.go
+++ b/measure/scheduler.go
@@ -83,7 +83,7 @@
 
 func (ou *ours) next(now time.Time) []*job {
 	ou.refuse(ou.queue.Expire(now))
-	started, refused := ou.queue.Next(now)
+	started, refused := ou.queue.Dispatch(now)
 	ou.refuse(refused)
 	out := make([]*job, len(started))
 	for i, ti := range started {
--- a/placement/balancer.go
+++ b/placement/balancer.go
@@ -36,12 +36,12 @@
 
 // Job is what a request asks of an endpoint.
 type Job struct {
-	// Start names the shared start of its prompt, 0 when there is none.
-	Start Prefix
+	// Prefix names the shared start of its prompt, 0 when there is none.
+	Prefix Prefix
 	// Work is what it takes until the answer begins, and Cached the part of it
 	// that a cached start saves.
-	Work   Work
-	Cached Work
+	Work        Work
+	CacheSaving Work
 }
 
 // Load is what one entry has at an endpoint.
@@ -61,15 +61,15 @@
 	ownThen       int
 	reportedUntil time.Time
 	// pending are this entry's jobs whose answer has not begun.
-	pending map[Ticket]pending
+	pending map[JobID]pending
 	// speed is the measured time against the expected.
 	speed float64
 	// failing is the smoothed share of failures.
 	failing float64
 }
 
-// Ticket names a job that was placed.
-type Ticket uint64
+// JobID names a job that was placed.
+type JobID uint64
 
 // pending is a job whose answer has not begun.
 type pending struct {
@@ -88,10 +88,10 @@
 	return late
 }
 
-// Placed is where a job goes.
-type Placed struct {
+// Assignment is where a job goes.
+type Assignment struct {
 	Endpoint policy.Endpoint
-	Ticket   Ticket
+	JobID    JobID
 	Job      Job
 	// Estimate is the work that is done before the job's answer begins, its own
 	// included.
@@ -112,7 +112,7 @@
 	sent        map[remembered]time.Time
 	domain      policy.FailureDomain
 	othersUntil time.Time
-	last        Ticket
+	last        JobID
 }
 
 // NewBalancer gives a balancer that knows nothing, for an entry in a failure
@@ -127,14 +127,14 @@
 
 // Choose picks an endpoint and counts the job there; Answered and Done must
 // follow. tried are endpoints that failed this request.
-func (ba *Balancer) Choose(now time.Time, ens []policy.Endpoint, jo Job, tried []policy.EndpointID, usable func(en policy.Endpoint, ru Running) bool) (Placed, bool) {
+func (ba *Balancer) Choose(now time.Time, ens []policy.Endpoint, jo Job, tried []policy.EndpointID, usable func(en policy.Endpoint, ru Running) bool) (Assignment, bool) {
 	ba.mu.Lock()
 	defer ba.mu.Unlock()
 	ens = slices.DeleteFunc(slices.Clone(ens), func(en policy.Endpoint) bool {
 		return slices.Contains(tried, en.ID) || !usable(en, ba.running(now, en.ID)) || !ba.node(en.ID).open(now)
 	})
 	if len(ens) == 0 {
-		return Placed{}, false
+		return Assignment{}, false
 	}
 	credits := ba.credits(now, ens, jo)
 	best, bestScore := 0, 0.0
@@ -153,8 +153,8 @@
 	ba.last++
 	dueAt := now.Add(time.Duration(overdueFactor * float64(estimate) * float64(time.Second)))
 	no.pending[ba.last] = pending{work: jo.Work, dueAt: dueAt}
-	ba.remember(now, jo.Start, en.ID)
-	return Placed{Endpoint: en, Ticket: ba.last, Job: jo, Estimate: estimate}, true
+	ba.remember(now, jo.Prefix, en.ID)
+	return Assignment{Endpoint: en, JobID: ba.last, Job: jo, Estimate: estimate}, true
 }
 
 // score estimates the seconds until an endpoint would answer, in view of how it
@@ -183,15 +183,15 @@
 	if over := load.Running + 1 - int(en.Slots); over > 0 {
 		wait += Work(over) * max(overflowCost, jo.Work)
 	}
-	return wait + jo.Work - Work(credit)*jo.Cached
+	return wait + jo.Work - Work(credit)*jo.CacheSaving
 }
 
-// Answered tells that an endpoint began to answer a job after a time.
-func (ba *Balancer) Answered(pl Placed, took time.Duration) {
+// AnswerStarted tells that an endpoint began to answer a job after a time.
+func (ba *Balancer) AnswerStarted(pl Assignment, took time.Duration) {
 	ba.mu.Lock()
 	defer ba.mu.Unlock()
 	no := ba.node(pl.Endpoint.ID)
-	no.settle(pl.Ticket)
+	no.settle(pl.JobID)
 	if pl.Estimate > 0 {
 		factor := min(slowest, max(fastest, took.Seconds()/float64(pl.Estimate)))
 		no.speed += speedSmoothing * (factor - no.speed)
@@ -199,7 +199,7 @@
 }
 
 // settle takes a job off the backlog, once.
-func (no *node) settle(ti Ticket) {
+func (no *node) settle(ti JobID) {
 	pe, ok := no.pending[ti]
 	if !ok {
 		return
@@ -209,32 +209,32 @@
 }
 
 // Done ends a job, and tells whether the endpoint was suspended or taken back.
-func (ba *Balancer) Done(now time.Time, pl Placed, re Result) (suspended, resumed bool) {
+func (ba *Balancer) Done(now time.Time, pl Assignment, re Result) (suspended, resumed bool) {
 	ba.mu.Lock()
 	defer ba.mu.Unlock()
 	no := ba.node(pl.Endpoint.ID)
-	no.settle(pl.Ticket)
+	no.settle(pl.JobID)
 	no.own.Running--
 	switch re {
 	case Succeeded:
 		no.failing -= failureSmoothing * no.failing
-	case Failed, Erred:
+	case Failed, AnsweredWithError:
 		no.failing += failureSmoothing * (1 - no.failing)
 	}
 	return no.note(now, re, ba.rng.Float64())
 }
 
-// Report takes in the requests that an endpoint says it has. It counts while
+// RecordLoad takes in the requests that an endpoint says it has. It counts while
 // the other entries tell nothing.
-func (ba *Balancer) Report(now time.Time, id policy.EndpointID, requests int) {
+func (ba *Balancer) RecordLoad(now time.Time, id policy.EndpointID, requests int) {
 	ba.mu.Lock()
 	defer ba.mu.Unlock()
 	no := ba.node(id)
 	no.reported, no.ownThen, no.reportedUntil = requests, no.own.Running, now.Add(reportLifetime)
 }
 
-// Pressure gives the work that waits at the mean endpoint.
-func (ba *Balancer) Pressure(now time.Time, ens []policy.Endpoint) Work {
+// MeanBacklog gives the work that waits at the mean endpoint.
+func (ba *Balancer) MeanBacklog(now time.Time, ens []policy.Endpoint) Work {
 	ba.mu.Lock()
 	defer ba.mu.Unlock()
 	if len(ens) == 0 {
@@ -251,9 +251,9 @@
 	return sum / Work(len(ens))
 }
 
-// SetOthers takes in what the other entries have at each endpoint. It counts
+// SetPeerLoads takes in what the other entries have at each endpoint. It counts
 // for a few seconds.
-func (ba *Balancer) SetOthers(now time.Time, others map[policy.EndpointID]Load) {
+func (ba *Balancer) SetPeerLoads(now time.Time, others map[policy.EndpointID]Load) {
 	ba.mu.Lock()
 	defer ba.mu.Unlock()
 	ba.othersUntil = now.Add(othersLifetime)
@@ -301,8 +301,8 @@
 	return ba.node(id).healthy()
 }
 
-// Keep forgets endpoints that are gone and have nothing in flight.
-func (ba *Balancer) Keep(known func(id policy.EndpointID) bool) {
+// Prune forgets endpoints that are gone and have nothing in flight.
+func (ba *Balancer) Prune(known func(id policy.EndpointID) bool) {
 	ba.mu.Lock()
 	defer ba.mu.Unlock()
 	for id, no := range ba.nodes {
@@ -315,7 +315,7 @@
 func (ba *Balancer) node(id policy.EndpointID) *node {
 	no, ok := ba.nodes[id]
 	if !ok {
-		no = &node{speed: 1, pending: map[Ticket]pending{}}
+		no = &node{speed: 1, pending: map[JobID]pending{}}
 		ba.nodes[id] = no
 	}
 	return no
--- a/placement/balancer_test.go
+++ b/placement/balancer_test.go
@@ -29,7 +29,7 @@
 func TestLongPromptsWithOneStartAreSpread(t *testing.T) {
 	ba := placement.NewBalancer(1, "")
 	counts := map[policy.EndpointID]int{}
-	jo := placement.Job{Start: 7, Work: 0.5, Cached: 0.2}
+	jo := placement.Job{Prefix: 7, Work: 0.5, CacheSaving: 0.2}
 	for range 45 {
 		pl, ok := ba.Choose(begin, engines(9), jo, nil, anyEndpoint)
 		qt.Assert(t, ok, qt.IsTrue)
@@ -44,13 +44,13 @@
 func TestCachedStartIsUsedWhileThereIsRoom(t *testing.T) {
 	ba := placement.NewBalancer(1, "")
 	counts := map[policy.EndpointID]int{}
-	jo := placement.Job{Start: 7, Work: 0.5, Cached: 0.3}
+	jo := placement.Job{Prefix: 7, Work: 0.5, CacheSaving: 0.3}
 	now := begin
 	for range 20 {
 		pl, _ := ba.Choose(now, engines(9), jo, nil, anyEndpoint)
 		counts[pl.Endpoint.ID]++
 		now = now.Add(500 * time.Millisecond)
-		ba.Answered(pl, 200*time.Millisecond)
+		ba.AnswerStarted(pl, 200*time.Millisecond)
 		ba.Done(now, pl, placement.Succeeded)
 	}
 	qt.Assert(t, counts, qt.HasLen, 1)
@@ -61,7 +61,7 @@
 func TestStuckEndpointIsLeftBeforeItAnswers(t *testing.T) {
 	ba := placement.NewBalancer(1, "")
 	stuck := policy.EndpointID("e3")
-	var out []placement.Placed
+	var out []placement.Assignment
 	now, late := begin, 0
 	for i := range 400 {
 		pl, ok := ba.Choose(now, engines(9), placement.Job{Work: 0.05}, nil, anyEndpoint)
@@ -72,7 +72,7 @@
 				late++
 			}
 		} else {
-			ba.Answered(pl, 50*time.Millisecond)
+			ba.AnswerStarted(pl, 50*time.Millisecond)
 			ba.Done(now, pl, placement.Succeeded)
 		}
 		now = now.Add(10 * time.Millisecond)
@@ -92,10 +92,10 @@
 		if pl.Endpoint.ID == "e1" {
 			there++
 			if i%2 == 0 {
-				re = placement.Erred
+				re = placement.AnsweredWithError
 			}
 		}
-		ba.Answered(pl, 30*time.Millisecond)
+		ba.AnswerStarted(pl, 30*time.Millisecond)
 		ba.Done(now, pl, re)
 		now = now.Add(20 * time.Millisecond)
 	}
@@ -104,19 +104,19 @@
 
 func TestOthersLoadCounts(t *testing.T) {
 	ba := placement.NewBalancer(1, "")
-	ba.SetOthers(begin, map[policy.EndpointID]placement.Load{"e0": {Running: 30, Backlog: 2}, "e1": {Running: 30, Backlog: 2}})
+	ba.SetPeerLoads(begin, map[policy.EndpointID]placement.Load{"e0": {Running: 30, Backlog: 2}, "e1": {Running: 30, Backlog: 2}})
 	for range 5 {
 		pl, _ := ba.Choose(begin, engines(3), placement.Job{Work: 0.05}, nil, anyEndpoint)
 		qt.Assert(t, pl.Endpoint.ID, qt.Equals, policy.EndpointID("e2"))
 	}
-	qt.Assert(t, float64(ba.Pressure(begin, engines(3))) > 1.3, qt.IsTrue)
+	qt.Assert(t, float64(ba.MeanBacklog(begin, engines(3))) > 1.3, qt.IsTrue)
 }
 
 func TestBacklogIsSettledOnce(t *testing.T) {
 	ba := placement.NewBalancer(1, "")
 	pl, _ := ba.Choose(begin, engines(1), placement.Job{Work: 1}, nil, anyEndpoint)
 	ba.Choose(begin, engines(1), placement.Job{Work: 1}, nil, anyEndpoint)
-	ba.Answered(pl, time.Second)
+	ba.AnswerStarted(pl, time.Second)
 	ba.Done(begin, pl, placement.Succeeded)
 	qt.Assert(t, ba.Loads()["e0"], qt.Equals, placement.Load{Running: 1, Backlog: 1})
 }
--- a/placement/homes.go
+++ b/placement/homes.go
@@ -31,13 +31,13 @@
 // in its cache: all where it was sent of late, and at its first home by hash.
 func (ba *Balancer) credits(now time.Time, ens []policy.Endpoint, jo Job) []float64 {
 	out := make([]float64, len(ens))
-	if jo.Start == 0 {
+	if jo.Prefix == 0 {
 		return out
 	}
 	order := make([]int, len(ens))
 	hashes := make([]uint64, len(ens))
 	for i, en := range ens {
-		order[i], hashes[i] = i, mix(xxhash.Sum64String(string(en.ID))^uint64(jo.Start))
+		order[i], hashes[i] = i, mix(xxhash.Sum64String(string(en.ID))^uint64(jo.Prefix))
 	}
 	slices.SortFunc(order, func(a, b int) int { return cmp.Compare(hashes[b], hashes[a]) })
 	credit := 1.0
@@ -46,7 +46,7 @@
 		credit = secondHomeCredit
 	}
 	for i, en := range ens {
-		if at, ok := ba.sent[remembered{jo.Start, en.ID}]; ok && now.Sub(at) < rememberedHome {
+		if at, ok := ba.sent[remembered{jo.Prefix, en.ID}]; ok && now.Sub(at) < rememberedHome {
 			out[i] = 1
 		}
 	}
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -204,9 +204,9 @@
 	return out
 }
 
-// SetOthers takes in what the other entries have in flight at each endpoint.
+// SetPeerInFlight takes in what the other entries have in flight at each endpoint.
 // It counts for a few seconds.
-func (tr *Tracker) SetOthers(now time.Time, others map[policy.EndpointID]int) {
+func (tr *Tracker) SetPeerInFlight(now time.Time, others map[policy.EndpointID]int) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	tr.othersUntil = now.Add(othersLifetime)
@@ -233,8 +233,8 @@
 	return st
 }
 
-// Report records the utilisation that an endpoint reported.
-func (tr *Tracker) Report(now time.Time, en policy.Endpoint, utilisation float64) {
+// RecordUtilisation records the utilisation that an endpoint reported.
+func (tr *Tracker) RecordUtilisation(now time.Time, en policy.Endpoint, utilisation float64) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	st := tr.state(en.ID)
@@ -247,13 +247,13 @@
 type Result int
 
 // The results. Neutral ones, such as a caller's mistake, say nothing of it.
-// Erred is an error that the endpoint answered with, which some requests bring
+// AnsweredWithError is an error that the endpoint answered with, which some requests bring
 // about wherever they run: it counts against the endpoint, but does not suspend it.
 const (
 	Neutral Result = iota
 	Succeeded
 	Failed
-	Erred
+	AnsweredWithError
 )
 
 // Done ends a request in flight, and tells whether the endpoint was suspended
@@ -285,8 +285,8 @@
 	return out
 }
 
-// Keep forgets endpoints that are gone and have nothing in flight.
-func (tr *Tracker) Keep(known func(id policy.EndpointID) bool) {
+// Prune forgets endpoints that are gone and have nothing in flight.
+func (tr *Tracker) Prune(known func(id policy.EndpointID) bool) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	for id, st := range tr.states {
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -44,7 +44,7 @@
 // requests share: two endpoints would queue for it while the others idle.
 func TestPopularPrefixGetsMoreHomes(t *testing.T) {
 	tr, po := placement.NewTracker(1), pool(8)
-	tr.SetOthers(start, nil)
+	tr.SetPeerInFlight(start, nil)
 	popular := placement.HashPrefix("o", "v", []byte("popular"))
 	rare := placement.HashPrefix("o", "v", []byte("rare"))
 	for i := range 200 {
--- a/placement/suspension.go
+++ b/placement/suspension.go
@@ -24,7 +24,7 @@
 func (su *suspension) note(now time.Time, re Result, chance float64) (suspended, resumed bool) {
 	su.probing = false
 	switch re {
-	case Succeeded, Erred:
+	case Succeeded, AnsweredWithError:
 		resumed = !su.healthy()
 		su.Failures = 0
 	case Failed:
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -49,7 +49,7 @@
 type attempt struct {
 	router   *Router
 	call     *call
-	placed   placement.Placed
+	placed   placement.Assignment
 	endpoint policy.Endpoint
 	sentAt   time.Time
 	// ended tells that the attempt is counted.
@@ -90,7 +90,7 @@
 	rq, now := ca.request, time.Now()
 	key := paceKey{ca.service.ID, ca.modelID()}
 	whole, cached := ro.paces.expect(key, rq.promptTokens(), rq.sharedTokens())
-	jo := placement.Job{Start: rq.start(ca.modelID()), Work: whole, Cached: cached}
+	jo := placement.Job{Prefix: rq.start(ca.modelID()), Work: whole, CacheSaving: cached}
 	ens, instead := ro.releases.endpoints(now, ca)
 	ca.pressure = ro.pressure(now, ca.service.ID, ens)
 	routers := int(ro.routers.Load())
@@ -110,7 +110,7 @@
 // too many to tell each other, the others are taken to have as much as this one
 // has on average.
 func (ro *Router) pressure(now time.Time, id policy.ServiceID, ens []policy.Endpoint) placement.Work {
-	pr := ro.balancer.Pressure(now, ens)
+	pr := ro.balancer.MeanBacklog(now, ens)
 	if !ro.peers.Large() {
 		return pr
 	}
@@ -147,7 +147,7 @@
 	an := &answer{attempt: at, status: source.Status, header: source.Header, source: source}
 	an.head = ro.options().Dialect.Head(source.Status, source.Header)
 	if an.head.Loaded {
-		ro.balancer.Report(time.Now(), at.endpoint.ID, an.head.Running+an.head.Waiting)
+		ro.balancer.RecordLoad(time.Now(), at.endpoint.ID, an.head.Running+an.head.Waiting)
 	}
 	return an.read()
 }
@@ -249,7 +249,7 @@
 // begin notes that the answer has begun.
 func (at *attempt) begin() {
 	ro, ca, took := at.router, at.call, time.Since(at.sentAt)
-	ro.balancer.Answered(at.placed, took)
+	ro.balancer.AnswerStarted(at.placed, took)
 	ro.paces.observe(paceKey{ca.service.ID, ca.modelID()}, ca.request.promptTokens(), took)
 	ro.releases.observe(ca.service.ID, at.endpoint, rollout.Outcome{FirstToken: took.Seconds() / max(float64(at.placed.Estimate), 0.001)})
 	ro.metrics.Attempts.Add(context.Background(), 1, metric.With(metric.KeyOutcome, "answered", metric.KeyCause, ""))
@@ -278,7 +278,7 @@
 	case errors.Is(ctx.Err(), context.Canceled) || fa.callerMistake || fa.notRun && errors.Is(fa.err, context.DeadlineExceeded):
 		result = placement.Neutral
 	case errors.Is(fa.err, errStatus) || errors.Is(fa.err, errNotRun):
-		result = placement.Erred
+		result = placement.AnsweredWithError
 	}
 	at.finish(result)
 	if result == placement.Neutral {
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -49,7 +49,7 @@
 	}
 	ro.routers.Store(int64(len(entries) + 1))
 	if !ro.peers.Large() {
-		ro.balancer.SetOthers(now, others)
+		ro.balancer.SetPeerLoads(now, others)
 	}
 	ro.releases.refresh()
 }
--- a/relay/fleet.go
+++ b/relay/fleet.go
@@ -79,7 +79,7 @@
 		}
 	}
 	fl.built, fl.revision = true, se.Revision
-	fl.router.balancer.Keep(func(id policy.EndpointID) bool {
+	fl.router.balancer.Prune(func(id policy.EndpointID) bool {
 		_, ok := se.Endpoints.ByID(id)
 		return ok
 	})
