--- a/admission/admission.go
+++ b/admission/admission.go
@@ -1,13 +1,14 @@
 // Package admission decides which requests run, wait, or are refused.
 //
-// Queue is the decision code for one pool of endpoints: it has no clock, no
-// lock and no I/O. Gate puts it behind blocking calls.
+// Queue decides for one pool of endpoints. It has no clock, no lock and no
+// I/O; Controller adds those and blocks callers until their request starts.
 //
-// Urgent ranks go first. Each rank has a floor, a share of the slots that it
-// keeps while others flood, and a headroom, a share that it leaves free for
-// more urgent work. Within a rank, organisations share by cost in proportion
-// to their weights, over the fleet and with decay. A request that cannot start
-// in time is refused at once.
+// Ranks are priority classes; more urgent ranks start first. A rank's floor is
+// the share of the slots that it is guaranteed while other ranks are
+// overloaded. Its headroom is the share of the slots that it leaves free for
+// more urgent ranks. Within a rank, scheduling is weighted fair sharing between
+// organisations: by cost served, with exponential decay, summed over all
+// entries. A request that cannot start in time is refused at once.
 package admission
 
 import (
@@ -16,47 +17,54 @@
 	"tanagerpoint.example/tanager/policy"
 )
 
-// Cost is work in tokens, or in calls for plain services.
+// Cost is an amount of work, in tokens for models and in calls for plain services.
 type Cost float64
 
-// Slots is a number of requests in service at once; shares make it fractional.
+// Slots is a number of concurrent requests. It is fractional because a pool's
+// slots are divided between entries.
 type Slots float64
 
-// Rank is what the queue needs to know of a rank.
+// Rank is a priority class.
 type Rank struct {
-	ID       policy.RankID
-	Order    int64
+	ID policy.RankID
+	// Order sorts the ranks, the most urgent first.
+	Order int64
+	// Floor and Headroom are shares of the slots, from 0 to 1.
 	Floor    float64
 	Headroom float64
 }
 
-// leastShare is the least part of an equal share of a pool that an entry
-// without demand keeps, so that its first requests need not wait.
-const leastShare = 0.5
+// minEqualShare is the fraction of an equal share of a pool that an entry keeps
+// without demand, so that its first requests need not wait.
+const minEqualShare = 0.5
 
-// CapacityShare gives the part of a pool's slots for one of several entries: by its
-// part of the demand, and at least a part of an equal share.
+// CapacityShare returns the fraction of a pool's slots that one of several
+// entries may use. Half is divided equally, half in proportion to demand; mine
+// is this entry's demand and others that of all other entries together.
 func CapacityShare(entries int, mine, others float64) float64 {
 	equal := 1 / float64(entries)
 	if mine+others <= 0 {
 		return equal
 	}
-	return leastShare*equal + (1-leastShare)*mine/(mine+others)
+	return minEqualShare*equal + (1-minEqualShare)*mine/(mine+others)
 }
 
 const (
-	// longAnswer times the expected service is what a request is kept time
-	// for: 97 of 100 answers of exponential length are shorter.
-	longAnswer = 3.5
-	// promptly is within what a request that has no such time must start.
-	promptly = 250 * time.Millisecond
+	// serviceTimeP97Factor times the expected service time is the time reserved
+	// for an answer: of answers with exponentially distributed length, 97 of 100
+	// are shorter.
+	serviceTimeP97Factor = 3.5
+	// maxStartDelay bounds the wait of a request whose deadline is too close to
+	// reserve that time.
+	maxStartDelay = 250 * time.Millisecond
 )
 
-// LatestStart gives when a request must start to be answered in time.
+// LatestStart returns the latest time at which a request must start to be
+// answered by its deadline; expected is its mean service time.
 func LatestStart(arrived, deadline time.Time, expected time.Duration) time.Time {
-	safe := deadline.Add(-time.Duration(longAnswer * float64(expected)))
+	safe := deadline.Add(-time.Duration(serviceTimeP97Factor * float64(expected)))
 	likely := deadline.Add(-expected)
-	if prompt := arrived.Add(promptly); prompt.Before(likely) {
+	if prompt := arrived.Add(maxStartDelay); prompt.Before(likely) {
 		likely = prompt
 	}
 	if safe.After(likely) {
@@ -65,15 +73,15 @@
 	return likely
 }
 
-// Ticket is one request before the queue.
+// Ticket is one request's place in the queue.
 type Ticket struct {
 	Organisation policy.OrganisationID
 	// Share is the organisation's weight.
 	Share float64
 	Rank  policy.RankID
-	// Cost is the expected cost.
+	// Cost is the expected cost; the actual cost is known when the request ends.
 	Cost Cost
-	// LatestStart is when the request must start to be answered in time.
+	// LatestStart is the time after which the request is refused instead of started.
 	LatestStart time.Time
 
 	state     state
@@ -93,10 +101,11 @@
 	stateEnded
 )
 
-// Reason says why a request was refused.
+// Reason is why a request was refused. Its text is the error code that the
+// caller gets.
 type Reason string
 
-// The reasons.
+// Reasons of refusals.
 const (
 	ReasonDeadlineUnreachable Reason = "deadline_unreachable"
 	ReasonQueueFull           Reason = "queue_full"
@@ -105,12 +114,12 @@
 	ReasonOrganisationLimit   Reason = "organisation_limit"
 )
 
-// Refusal is a request that was not run. RetryAt is when to come back.
+// Refusal is a request that was refused and not run. RetryAt is the earliest
+// time at which a retry makes sense.
 type Refusal struct {
 	Ticket  *Ticket
 	Reason  Reason
 	RetryAt time.Time
 }
 
-// Error gives the reason.
 func (re *Refusal) Error() string { return "admission: " + string(re.Reason) }
--- a/admission/fleet.go
+++ b/admission/fleet.go
@@ -8,9 +8,9 @@
 	"tanagerpoint.example/tanager/policy"
 )
 
-// A level is a rank's organisations within their share, or those over it. More
-// protected levels come first: level 2n is within, level 2n+1 over the share
-// of the n-th rank.
+// Each rank has two levels: organisations within their fair share, and
+// organisations over it. Levels are ordered by protection: level 2n is within,
+// level 2n+1 over the share of the n-th rank.
 const levelsPerRank = 2
 
 const (
@@ -19,60 +19,62 @@
 )
 
 const (
-	// overShareFactor times its share of a rank's work puts an organisation
-	// over it.
-	overShareFactor = 1.1
-	// reserveDeviations of a more protected level's use are kept free for it,
-	// beside its mean.
+	// overShareTolerance times its fair share of a rank's work is the limit
+	// above which an organisation counts as over its share.
+	overShareTolerance = 1.1
+	// reserveDeviations is how many standard deviations above its mean use are
+	// kept free for a more protected level.
 	reserveDeviations = 3.0
-	// spareShare of the fleet's free slots may be used by one entry beyond its
-	// own, until the next exchange.
-	spareShare = 0.5
-	// ditherInterval is the time for which limits are rounded in one way.
+	// maxSpareShare is the fraction of the fleet's free slots that one entry may
+	// use beyond its own slots until the next exchange of reports.
+	maxSpareShare = 0.5
+	// ditherInterval is how long fractional limits are rounded with one dither.
 	ditherInterval = 2 * time.Second
-	// goldenRatio spreads successive roundings evenly.
+	// goldenRatio is added to the dither, modulo 1, at each change: this
+	// low-discrepancy sequence distributes the roundings evenly.
 	goldenRatio = 0.6180339887498949
-	// fleetLifetime is how long the other entries' reports are valid.
-	fleetLifetime = 4 * time.Second
+	// fleetReportLifetime is how long the other entries' reports are valid.
+	fleetReportLifetime = 4 * time.Second
 )
 
-// LevelUsage is the slots used by a level.
+// LevelUsage is the slots that a level uses.
 type LevelUsage struct {
 	Rank      policy.RankID
 	OverShare bool
 	Running   Slots
-	// Used is Running, smoothed.
+	// Used is the exponential moving average of Running.
 	Used Slots
 }
 
-// Usage is one organisation's decayed served cost within a rank.
+// Usage is the cost served for one organisation within a rank, with
+// exponential decay.
 type Usage struct {
 	Organisation policy.OrganisationID
 	Rank         policy.RankID
 	Cost         Cost
 }
 
-// Report is what a queue publishes to the other entries.
+// Report is the usage of a queue that its entry sends to the other entries.
 type Report struct {
 	Organisations []Usage
 	Levels        []LevelUsage
 }
 
-// Fleet is what the other entries reported: the pool's slots for all entries, and
-// the sums of the others' reports.
+// Fleet is the state of the pool over all entries: its total slots, and the
+// combined reports of the other entries.
 type Fleet struct {
 	Capacity Slots
 	Report
 }
 
-// Report gives what this queue serves, for the other entries.
+// Report returns the usage of this queue, for the other entries.
 func (qu *Queue) Report(now time.Time) Report {
 	qu.advance(now)
 	var re Report
 	scale := 1 / qu.inflation(now)
 	for _, rq := range qu.ranks {
 		for id, or := range rq.orgs {
-			if co := or.used * scale; co >= 1 {
+			if co := or.localUsage * scale; co >= 1 {
 				re.Organisations = append(re.Organisations, Usage{Organisation: id, Rank: rq.ID, Cost: Cost(co)})
 			}
 		}
@@ -86,21 +88,22 @@
 	return re
 }
 
-// SetFleet processes what the other entries reported. It is valid for a few seconds;
-// without it the queue keeps to its own slots and its own usage.
+// SetFleet replaces the reports of the other entries. They expire after
+// fleetReportLifetime; without them the queue uses its own slots and its own
+// usage only.
 func (qu *Queue) SetFleet(now time.Time, fl Fleet) {
 	qu.advance(now)
 	qu.fleetCapacity = fl.Capacity
-	qu.fleetUntil = now.Add(fleetLifetime)
+	qu.fleetUntil = now.Add(fleetReportLifetime)
 	scale := qu.inflation(now)
 	for _, rq := range qu.ranks {
 		for tier := range rq.levels {
 			le := &rq.levels[tier]
-			le.othersRunning, le.othersUsed, le.runningThen = 0, 0, le.running
+			le.peersRunning, le.peersUsed, le.runningAtReport = 0, 0, le.running
 		}
 		for _, or := range rq.orgs {
-			rq.usage -= or.remote
-			or.remote = 0
+			rq.usage -= or.peerUsage
+			or.peerUsage = 0
 		}
 	}
 	for _, lu := range fl.Levels {
@@ -109,19 +112,19 @@
 			if lu.OverShare {
 				tier = overShare
 			}
-			rq.levels[tier].othersRunning += float64(lu.Running)
-			rq.levels[tier].othersUsed += float64(lu.Used)
+			rq.levels[tier].peersRunning += float64(lu.Running)
+			rq.levels[tier].peersUsed += float64(lu.Used)
 		}
 	}
 	for _, us := range fl.Organisations {
-		qu.addRemote(us, scale)
+		qu.addPeerUsage(us, scale)
 	}
 	for _, rq := range qu.ranks {
 		heap.Init(&rq.ready)
 	}
 }
 
-func (qu *Queue) addRemote(us Usage, scale float64) {
+func (qu *Queue) addPeerUsage(us Usage, scale float64) {
 	rq := qu.rank(us.Rank)
 	if rq == nil {
 		return
@@ -129,39 +132,42 @@
 	co := float64(us.Cost) * scale
 	or, ok := rq.orgs[us.Organisation]
 	if !ok {
-		// An organisation that is served elsewhere counts among the active.
+		// An organisation that only other entries serve still takes part in
+		// the fair shares.
 		or = rq.org(us.Organisation, 1)
 	}
-	or.remote += co
+	or.peerUsage += co
 	rq.usage += co
 }
 
 // level is the state of one level.
 type level struct {
 	running int
-	used    float64
-	// othersRunning and othersUsed are the other entries', runningThen this
-	// one's at the same time.
-	othersRunning float64
-	othersUsed    float64
-	runningThen   int
+	// used is the exponential moving average of running.
+	used float64
+	// peersRunning and peersUsed are the sums over the other entries.
+	peersRunning float64
+	peersUsed    float64
+	// runningAtReport is running at the time of the other entries' reports.
+	runningAtReport int
 }
 
-// tier tells whether an organisation is over its share of its rank's work.
+// tier returns overShare or withinShare: whether an organisation is over its
+// fair share of its rank's work.
 func (rq *rankQueue) tier(or *orgQueue) int {
-	fair := rq.usage * or.share / rq.activeShares
-	if or.used+or.remote > overShareFactor*fair {
+	fair := rq.usage * or.share / rq.knownShares
+	if or.localUsage+or.peerUsage > overShareTolerance*fair {
 		return overShare
 	}
 	return withinShare
 }
 
-// mayStart tells whether a level may have another slot. It counts against the
-// limits of that level and of all more protected ones: each limits what it and
-// the less protected ones use together, so that what the more protected are
-// expected to need stays free.
+// mayStart reports whether a level may use another slot. It checks the limit of
+// that level and of every more protected one. A level's limit bounds the slots
+// that it and all less protected levels use together, so that the slots that
+// the more protected levels are expected to need stay free.
 func (qu *Queue) mayStart(rank, tier int) bool {
-	known := qu.at.Before(qu.fleetUntil)
+	fleetKnown := qu.updatedAt.Before(qu.fleetUntil)
 	ranksAbove := 0.0
 	for i := 0; i <= rank; i++ {
 		within := 0.0
@@ -169,57 +175,60 @@
 			if i == rank && j > tier {
 				break
 			}
-			reserve := max(expectedNeed(ranksAbove), qu.ranks[i].Headroom*qu.whole(known)) + expectedNeed(within)
-			if !qu.hasRoom(i, j, reserve, known) {
+			reserve := max(reserveFor(ranksAbove), qu.ranks[i].Headroom*qu.totalCapacity(fleetKnown)) + reserveFor(within)
+			if !qu.hasRoom(i, j, reserve, fleetKnown) {
 				return false
 			}
-			within += qu.ranks[i].levels[j].fleetUsed(known)
+			within += qu.ranks[i].levels[j].fleetUsed(fleetKnown)
 		}
 		ranksAbove += within
 	}
 	return true
 }
 
-// hasRoom tells whether a level and those less protected may use another slot,
-// of all but a reserve: of this entry's own, or of those free in the fleet.
-func (qu *Queue) hasRoom(rank, tier int, reserve float64, known bool) bool {
-	below, belowThen, othersBelow := 0, 0, 0.0
+// hasRoom reports whether a level and all less protected ones may use another
+// slot outside the reserve: either one of this entry's own slots, or a free
+// slot of the fleet.
+func (qu *Queue) hasRoom(rank, tier int, reserve float64, fleetKnown bool) bool {
+	running, runningAtReport, peersRunning := 0, 0, 0.0
 	for i, rq := range qu.ranks[rank:] {
 		for j := range rq.levels {
 			if i == 0 && j < tier {
 				continue
 			}
-			below += rq.levels[j].running
-			belowThen += rq.levels[j].runningThen
-			othersBelow += rq.levels[j].othersRunning
+			running += rq.levels[j].running
+			runningAtReport += rq.levels[j].runningAtReport
+			peersRunning += rq.levels[j].peersRunning
 		}
 	}
-	whole := qu.whole(known)
-	left := max(0, whole-reserve)
-	if float64(below+1) <= math.Floor(float64(qu.capacity)*left/whole+qu.dither) {
+	total := qu.totalCapacity(fleetKnown)
+	usable := max(0, total-reserve)
+	if float64(running+1) <= math.Floor(float64(qu.capacity)*usable/total+qu.dither) {
 		return true
 	}
-	free := left - othersBelow - float64(belowThen)
-	return known && float64(below-belowThen+1) <= spareShare*free
+	unused := usable - peersRunning - float64(runningAtReport)
+	return fleetKnown && float64(running-runningAtReport+1) <= maxSpareShare*unused
 }
 
-// whole is the pool's slots for all entries, as far as they are known.
-func (qu *Queue) whole(known bool) float64 {
-	if known && qu.fleetCapacity > qu.capacity {
+// totalCapacity returns the pool's slots over all entries, or this entry's own
+// slots when the fleet's state is not known.
+func (qu *Queue) totalCapacity(fleetKnown bool) float64 {
+	if fleetKnown && qu.fleetCapacity > qu.capacity {
 		return float64(qu.fleetCapacity)
 	}
 	return float64(qu.capacity)
 }
 
-func (le *level) fleetUsed(known bool) float64 {
-	if known {
-		return le.used + le.othersUsed
+func (le *level) fleetUsed(fleetKnown bool) float64 {
+	if fleetKnown {
+		return le.used + le.peersUsed
 	}
 	return le.used
 }
 
-// expectedNeed gives the slots that are enough at nearly every moment for work
-// that uses some on average: its arrivals are taken for a Poisson process.
-func expectedNeed(used float64) float64 {
+// reserveFor returns the slots that almost always suffice for work that uses
+// the given number on average. It assumes Poisson arrivals, whose standard
+// deviation is the square root of the mean.
+func reserveFor(used float64) float64 {
 	return used + reserveDeviations*math.Sqrt(used)
 }
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -10,45 +10,49 @@
 )
 
 const (
-	// usageHalfLife is the time in which served work loses half its weight.
+	// usageHalfLife is the half-life of served cost in an organisation's usage.
 	usageHalfLife = 10 * time.Second
-	// creditLimit bounds a rank's floor credit, in seconds of its floor, and
-	// creditBase in slot-seconds on top.
-	creditLimit = 10.0
-	creditBase  = 10.0
-	// idleCredit bounds the credit of a rank without waiting work, in
-	// slot-seconds.
-	idleCredit = 0.5
-	// smoothing weighs a new measurement against the mean so far.
-	smoothing = 0.05
-	// shareSmoothing is the time constant of the ranks' measured shares.
-	shareSmoothing = 2 * time.Second
-	minRetryWait   = time.Second
-	maxRetryWait   = 30 * time.Second
-	noCapacityWait = 2 * time.Second
-	// renormaliseAt bounds the inflated usage before it is scaled down.
-	renormaliseAt = 64
-	// forgetBelow is the usage at which an organisation is no longer active.
-	forgetBelow = 0.5
-	// firstSecondsPerCost is assumed until requests have ended.
-	firstSecondsPerCost = 0.02
+	// A rank's floor credit is bounded by maxCreditSeconds times its floor plus
+	// maxCreditBase, in slot-seconds.
+	maxCreditSeconds = 10.0
+	maxCreditBase    = 10.0
+	// maxIdleCredit bounds the floor credit of a rank without waiting requests,
+	// in slot-seconds.
+	maxIdleCredit = 0.5
+	// serviceTimeSmoothing is the weight of a new measurement in the moving
+	// average of the service time for each unit of cost.
+	serviceTimeSmoothing = 0.05
+	// levelSmoothing is the time constant of the moving average of each level's
+	// used slots.
+	levelSmoothing      = 2 * time.Second
+	minRetryWait        = time.Second
+	maxRetryWait        = 30 * time.Second
+	noCapacityRetryWait = 2 * time.Second
+	// maxInflation is the inflation of usage above which it is scaled down.
+	maxInflation = 64
+	// minActiveScore is the usage for each unit of weight below which an
+	// organisation without waiting requests is dropped.
+	minActiveScore = 0.5
+	// initialSecondsPerCost is the estimate before any request has ended.
+	initialSecondsPerCost = 0.02
 )
 
-// Queue decides for one pool. It is not safe for concurrent use.
+// Queue schedules the requests of one pool. It is not safe for concurrent use.
 type Queue struct {
-	ranks    []*rankQueue
-	capacity Slots
-	maxWait  int
-	running  int
-	waiting  int
-	at       time.Time
-	epoch    time.Time
-	// secondsPerCost is the measured time that a unit of cost holds a slot.
+	ranks      []*rankQueue
+	capacity   Slots
+	maxWaiting int
+	running    int
+	waiting    int
+	updatedAt  time.Time
+	epoch      time.Time
+	// secondsPerCost is the measured time that a unit of cost occupies a slot.
 	secondsPerCost float64
 	// fleetCapacity is the pool's slots for all entries, until fleetUntil.
 	fleetCapacity Slots
 	fleetUntil    time.Time
-	// dither is added to limits before they are rounded down, until ditherUntil.
+	// dither, from 0 to 1, is added to fractional limits before they are rounded
+	// down; it changes at ditherUntil.
 	dither      float64
 	ditherUntil time.Time
 }
@@ -56,51 +60,52 @@
 // rankQueue is the state of one rank.
 type rankQueue struct {
 	Rank
-	running int
-	waiting int
-	queued  Cost
-	// credit is the slot-seconds that the rank may still claim of its floor.
+	running    int
+	waiting    int
+	queuedCost Cost
+	// credit is the slot-seconds of its floor that the rank has not used yet.
 	credit float64
 	levels [levelsPerRank]level
 	orgs   map[policy.OrganisationID]*orgQueue
 	ready  orgHeap
-	// shares adds up the weights of the organisations that wait, activeShares
-	// of all that are known.
-	shares       float64
-	activeShares float64
-	// usage adds up the organisations' usage.
+	// waitingShares is the sum of the weights of the organisations with waiting
+	// requests, knownShares that of all organisations in orgs.
+	waitingShares float64
+	knownShares   float64
+	// usage is the sum of the organisations' local and peer usage.
 	usage float64
 }
 
-// orgQueue is one organisation's state within a rank. Usage is inflated by
-// the time since the epoch in place of being decayed, which keeps the order of
-// organisations as time passes.
+// orgQueue is one organisation's state within a rank. Instead of decaying old
+// usage, new usage is inflated by the time since the epoch, so that the order
+// of the organisations does not change as time passes.
 type orgQueue struct {
-	id     policy.OrganisationID
-	share  float64
-	used   float64
-	remote float64
-	queued Cost
-	wait   []*Ticket
-	index  int
+	id         policy.OrganisationID
+	share      float64
+	localUsage float64
+	peerUsage  float64
+	queuedCost Cost
+	tickets    []*Ticket
+	index      int
 }
 
-func (or *orgQueue) score() float64 { return (or.used + or.remote) / or.share }
+func (or *orgQueue) score() float64 { return (or.localUsage + or.peerUsage) / or.share }
 
-// NewQueue gives an empty queue without capacity. maxWaiting bounds the
-// requests that wait.
+// NewQueue returns an empty queue without capacity, in which at most maxWaiting
+// requests wait.
 //
-// A limit that is not a whole number is rounded up and down in turn, so that
-// it holds on average; dither, from 0 to 1, sets the queues of several entries
-// apart in that.
+// A fractional limit is rounded up or down in turn, so that it holds on
+// average. dither, from 0 to 1, is where this sequence starts; it should differ
+// between entries, so that they do not round up at the same time.
 func NewQueue(now time.Time, maxWaiting int, dither float64) *Queue {
 	return &Queue{
-		at: now, epoch: now, maxWait: maxWaiting, secondsPerCost: firstSecondsPerCost,
+		updatedAt: now, epoch: now, maxWaiting: maxWaiting, secondsPerCost: initialSecondsPerCost,
 		dither: dither, ditherUntil: now.Add(ditherInterval),
 	}
 }
 
-// SetRanks sets the ranks. Those that stay keep their state.
+// SetRanks replaces the ranks. Ranks that were there before keep their state,
+// and removed ones are kept while they have running or waiting requests.
 func (qu *Queue) SetRanks(ras []Rank) {
 	var next []*rankQueue
 	for _, ra := range ras {
@@ -120,16 +125,16 @@
 	qu.ranks = next
 }
 
-// SetCapacity sets the slots of this queue.
+// SetCapacity sets this entry's slots.
 func (qu *Queue) SetCapacity(now time.Time, slots Slots) {
 	qu.advance(now)
 	qu.capacity = slots
 }
 
-// Load gives the requests in service and waiting.
+// Load returns the number of running and of waiting requests.
 func (qu *Queue) Load() (running, waiting int) { return qu.running, qu.waiting }
 
-// Capacity gives the slots of this queue.
+// Capacity returns this entry's slots.
 func (qu *Queue) Capacity() Slots { return qu.capacity }
 
 func (qu *Queue) rank(id policy.RankID) *rankQueue {
@@ -141,9 +146,10 @@
 	return nil
 }
 
-// Offer puts a request into the queue, or refuses it. Next tells when it may
-// run. A full queue makes room by refusing the newest request of the
-// organisation that waits for most beyond its share.
+// Offer adds a request to the queue, or refuses it; Dispatch starts it later.
+// When the queue is full, Offer refuses the newest waiting request of the
+// organisation with the most queued cost for its weight, so the refusal may be
+// of another ticket than ti.
 func (qu *Queue) Offer(now time.Time, ti *Ticket) []*Refusal {
 	qu.advance(now)
 	rq := qu.rank(ti.Rank)
@@ -151,50 +157,55 @@
 		return []*Refusal{{Ticket: ti, Reason: ReasonUnknownRank, RetryAt: now.Add(minRetryWait)}}
 	}
 	if qu.capacity <= 0 {
-		return []*Refusal{{Ticket: ti, Reason: ReasonNoCapacity, RetryAt: now.Add(noCapacityWait)}}
+		return []*Refusal{{Ticket: ti, Reason: ReasonNoCapacity, RetryAt: now.Add(noCapacityRetryWait)}}
 	}
 	or := rq.org(ti.Organisation, ti.Share)
 	startAt := qu.expectedStart(now, rq, or, ti.Cost)
 	if startAt.After(ti.LatestStart) {
-		return []*Refusal{qu.refusal(now, ti, ReasonDeadlineUnreachable, startAt.Sub(ti.LatestStart))}
+		return []*Refusal{qu.refuse(now, ti, ReasonDeadlineUnreachable, startAt.Sub(ti.LatestStart))}
 	}
 	var out []*Refusal
-	if qu.waiting >= qu.maxWait {
-		victim := qu.victim(rq, or)
+	if qu.waiting >= qu.maxWaiting {
+		victim := qu.chooseVictim(rq, or)
 		if victim == nil {
-			return []*Refusal{qu.refusal(now, ti, ReasonQueueFull, startAt.Sub(now))}
+			return []*Refusal{qu.refuse(now, ti, ReasonQueueFull, startAt.Sub(now))}
 		}
-		qu.remove(victim)
-		out = append(out, qu.refusal(now, victim, ReasonQueueFull, startAt.Sub(now)))
+		qu.dequeue(victim)
+		out = append(out, qu.refuse(now, victim, ReasonQueueFull, startAt.Sub(now)))
 	}
 	ti.rank, ti.org, ti.state = rq, or, stateWaiting
-	qu.push(ti)
+	qu.enqueue(ti)
 	return out
 }
 
-func (qu *Queue) refusal(now time.Time, ti *Ticket, re Reason, wait time.Duration) *Refusal {
+// refuse ends a ticket and returns its refusal, with wait brought within the
+// bounds for a retry.
+func (qu *Queue) refuse(now time.Time, ti *Ticket, re Reason, wait time.Duration) *Refusal {
 	ti.state = stateEnded
 	wait = min(maxRetryWait, max(minRetryWait, wait))
 	return &Refusal{Ticket: ti, Reason: re, RetryAt: now.Add(wait)}
 }
 
-// expectedStart estimates when a request would start. Fair sharing puts at
-// most the organisation's own work, scaled by all waiting weights, before it.
+// expectedStart estimates when a request would start. Under fair sharing the
+// cost served before it is at most the organisation's own queued cost, scaled
+// by the sum of the waiting organisations' weights over its own.
 func (qu *Queue) expectedStart(now time.Time, rq *rankQueue, or *orgQueue, co Cost) time.Time {
 	if qu.waiting == 0 && float64(qu.running) < float64(qu.capacity) {
 		return now
 	}
-	shares := rq.shares
-	if len(or.wait) == 0 {
+	shares := rq.waitingShares
+	if len(or.tickets) == 0 {
 		shares += or.share
 	}
-	ahead := min(float64(rq.queued), float64(or.queued+co)*shares/or.share)
-	rate := qu.available(rq) * float64(qu.capacity) / qu.secondsPerCost
+	ahead := min(float64(rq.queuedCost), float64(or.queuedCost+co)*shares/or.share)
+	rate := qu.availableShare(rq) * float64(qu.capacity) / qu.secondsPerCost
 	return now.Add(time.Duration(ahead / rate * float64(time.Second)))
 }
 
-// available is the share of the capacity that a rank can count on.
-func (qu *Queue) available(rq *rankQueue) float64 {
+// availableShare returns the share of the capacity that a rank can expect:
+// what more urgent ranks do not use, less the floors of less urgent ranks with
+// waiting requests, and at least its own floor.
+func (qu *Queue) availableShare(rq *rankQueue) float64 {
 	left := 1.0
 	for _, other := range qu.ranks {
 		switch {
@@ -208,34 +219,38 @@
 	return max(left, rq.Floor, least)
 }
 
-// victim chooses whom to refuse in a full queue, nil for the newcomer itself.
-func (qu *Queue) victim(rq *rankQueue, or *orgQueue) *Ticket {
+// chooseVictim returns the waiting request to refuse when the queue is full, or
+// nil when the new request itself, of rank rq and organisation or, is to be
+// refused. It begins with the least urgent rank and goes up to rq.
+func (qu *Queue) chooseVictim(rq *rankQueue, or *orgQueue) *Ticket {
 	for i := len(qu.ranks) - 1; i >= 0 && qu.ranks[i].Order >= rq.Order; i-- {
-		worst := qu.ranks[i].heaviest()
+		worst := qu.ranks[i].mostQueued()
 		if worst == nil {
 			continue
 		}
-		mine := float64(or.queued) / or.share
-		if qu.ranks[i] == rq && float64(worst.queued)/worst.share <= mine {
+		mine := float64(or.queuedCost) / or.share
+		if qu.ranks[i] == rq && float64(worst.queuedCost)/worst.share <= mine {
 			return nil
 		}
-		return worst.wait[len(worst.wait)-1]
+		return worst.tickets[len(worst.tickets)-1]
 	}
 	return nil
 }
 
-func (rq *rankQueue) heaviest() *orgQueue {
+// mostQueued returns the organisation with the most queued cost for its weight,
+// or nil when none has waiting requests.
+func (rq *rankQueue) mostQueued() *orgQueue {
 	var worst *orgQueue
 	for _, or := range rq.ready {
-		if worst == nil || float64(or.queued)/or.share > float64(worst.queued)/worst.share {
+		if worst == nil || float64(or.queuedCost)/or.share > float64(worst.queuedCost)/worst.share {
 			worst = or
 		}
 	}
 	return worst
 }
 
-// Dispatch gives the requests that start now, and those that can no longer be
-// answered in time and are refused.
+// Dispatch starts the requests that may run now, and refuses those that it
+// would have started but whose latest start has passed.
 func (qu *Queue) Dispatch(now time.Time) (started []*Ticket, refused []*Refusal) {
 	qu.advance(now)
 	for qu.waiting > 0 && qu.capacity > 0 {
@@ -243,10 +258,10 @@
 		if rq == nil {
 			return started, refused
 		}
-		ti := rq.ready[0].wait[0]
-		qu.remove(ti)
+		ti := rq.ready[0].tickets[0]
+		qu.dequeue(ti)
 		if now.After(ti.LatestStart) {
-			refused = append(refused, qu.refusal(now, ti, ReasonDeadlineUnreachable, minRetryWait))
+			refused = append(refused, qu.refuse(now, ti, ReasonDeadlineUnreachable, minRetryWait))
 			continue
 		}
 		qu.start(now, ti)
@@ -261,7 +276,7 @@
 	var late []*Ticket
 	for _, rq := range qu.ranks {
 		for _, or := range rq.ready {
-			for _, ti := range or.wait {
+			for _, ti := range or.tickets {
 				if now.After(ti.LatestStart) {
 					late = append(late, ti)
 				}
@@ -270,14 +285,15 @@
 	}
 	var out []*Refusal
 	for _, ti := range late {
-		qu.remove(ti)
-		out = append(out, qu.refusal(now, ti, ReasonDeadlineUnreachable, minRetryWait))
+		qu.dequeue(ti)
+		out = append(out, qu.refuse(now, ti, ReasonDeadlineUnreachable, minRetryWait))
 	}
 	return out
 }
 
-// nextRank chooses the rank that gets a free slot: first one that is below
-// its floor, then the most urgent that may have another slot.
+// nextRank returns the rank that gets the next slot, or nil: the most urgent
+// one with floor credit left, or else the most urgent one that may use another
+// slot.
 func (qu *Queue) nextRank() *rankQueue {
 	if float64(qu.running+1) <= math.Floor(float64(qu.capacity)+qu.dither) {
 		for _, rq := range qu.ranks {
@@ -302,22 +318,24 @@
 	qu.charge(now, ti, ti.Cost)
 }
 
-// charge adds served cost to an organisation's usage.
+// charge adds a cost, which may be negative, to an organisation's usage.
 func (qu *Queue) charge(now time.Time, ti *Ticket, co Cost) {
 	inflated := float64(co) * qu.inflation(now)
-	ti.org.used += inflated
+	ti.org.localUsage += inflated
 	ti.rank.usage += inflated
 	if ti.org.index >= 0 {
 		heap.Fix(&ti.rank.ready, ti.org.index)
 	}
 }
 
-// inflation is the weight of work at a time against work at the epoch.
+// inflation returns the weight of cost served now relative to cost served at
+// the epoch.
 func (qu *Queue) inflation(now time.Time) float64 {
 	return math.Exp2(now.Sub(qu.epoch).Seconds() / usageHalfLife.Seconds())
 }
 
-// Done ends a request in service; actual is what it cost.
+// Done ends a running request and replaces its expected cost by the actual
+// one. It does nothing when the request is not running.
 func (qu *Queue) Done(now time.Time, ti *Ticket, actual Cost) {
 	if ti.state != stateRunning {
 		return
@@ -330,58 +348,60 @@
 	qu.charge(now, ti, actual-ti.Cost)
 	if actual > 0 {
 		seconds := now.Sub(ti.startedAt).Seconds() / float64(actual)
-		qu.secondsPerCost += smoothing * (seconds - qu.secondsPerCost)
+		qu.secondsPerCost += serviceTimeSmoothing * (seconds - qu.secondsPerCost)
 	}
 }
 
-// Cancel takes a request out of the queue when its caller has gone. False when
-// it was not waiting.
+// Cancel removes a waiting request from the queue, and reports whether it was
+// waiting.
 func (qu *Queue) Cancel(now time.Time, ti *Ticket) bool {
 	if ti.state != stateWaiting {
 		return false
 	}
 	qu.advance(now)
-	qu.remove(ti)
+	qu.dequeue(ti)
 	ti.state = stateEnded
 	return true
 }
 
-func (qu *Queue) push(ti *Ticket) {
+func (qu *Queue) enqueue(ti *Ticket) {
 	rq, or := ti.rank, ti.org
-	or.wait = append(or.wait, ti)
-	or.queued += ti.Cost
-	rq.queued += ti.Cost
+	or.tickets = append(or.tickets, ti)
+	or.queuedCost += ti.Cost
+	rq.queuedCost += ti.Cost
 	rq.waiting++
 	qu.waiting++
-	if len(or.wait) == 1 {
+	if len(or.tickets) == 1 {
 		heap.Push(&rq.ready, or)
-		rq.shares += or.share
+		rq.waitingShares += or.share
 	}
 }
 
-func (qu *Queue) remove(ti *Ticket) {
+func (qu *Queue) dequeue(ti *Ticket) {
 	rq, or := ti.rank, ti.org
-	i := slices.Index(or.wait, ti)
-	or.wait = slices.Delete(or.wait, i, i+1)
-	or.queued -= ti.Cost
-	rq.queued -= ti.Cost
+	i := slices.Index(or.tickets, ti)
+	or.tickets = slices.Delete(or.tickets, i, i+1)
+	or.queuedCost -= ti.Cost
+	rq.queuedCost -= ti.Cost
 	rq.waiting--
 	qu.waiting--
-	if len(or.wait) == 0 {
+	if len(or.tickets) == 0 {
 		heap.Remove(&rq.ready, or.index)
-		rq.shares -= or.share
+		rq.waitingShares -= or.share
 	}
 }
 
+// org returns an organisation's state within the rank, which it creates when
+// there is none. A changed weight takes effect when nothing is waiting.
 func (rq *rankQueue) org(id policy.OrganisationID, share float64) *orgQueue {
 	or, ok := rq.orgs[id]
 	if !ok {
 		or = &orgQueue{id: id, share: share, index: -1}
 		rq.orgs[id] = or
-		rq.activeShares += share
+		rq.knownShares += share
 	}
-	if len(or.wait) == 0 {
-		rq.activeShares += share - or.share
+	if len(or.tickets) == 0 {
+		rq.knownShares += share - or.share
 		or.share = share
 	}
 	return or
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -21,8 +21,10 @@
 	return []admission.Rank{{ID: "urgent", Order: 0, Floor: 0.2}, {ID: "bulk", Order: 1, Floor: 0.2, Headroom: 0.2}}
 }
 
-// TestQueueKeepsItsCounts offers, starts, ends and cancels at random: nothing
-// is lost or started twice, and what was promised holds.
+// TestQueueKeepsItsCounts offers, starts, ends and cancels requests at random.
+// It fails when a request is lost, started twice or started after its latest
+// start, when Load differs from the actual counts, when more requests run than
+// there are slots, or when a refusal has no later time for a retry.
 func TestQueueKeepsItsCounts(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		now := start
@@ -36,7 +38,7 @@
 					rt.Fatalf("started a ticket that was %q", state[ti])
 				}
 				if now.After(ti.LatestStart) {
-					rt.Fatalf("started too late")
+					rt.Fatalf("started after the latest start")
 				}
 				state[ti] = "running"
 			}
@@ -45,7 +47,7 @@
 					rt.Fatalf("refused a ticket that was %q", state[re.Ticket])
 				}
 				if !re.RetryAt.After(now) {
-					rt.Fatalf("refusal does not say when to come back")
+					rt.Fatalf("retry time of a refusal is not in the future")
 				}
 				state[re.Ticket] = "refused"
 			}
@@ -88,7 +90,7 @@
 			}
 			running, waiting := qu.Load()
 			if running != counts["running"] || waiting != counts["waiting"] {
-				rt.Fatalf("queue counts %d and %d, want %d and %d", running, waiting, counts["running"], counts["waiting"])
+				rt.Fatalf("queue counts %d running and %d waiting requests, want %d and %d", running, waiting, counts["running"], counts["waiting"])
 			}
 			if running > 4 {
 				rt.Fatalf("%d run with three slots", running)
@@ -117,11 +119,11 @@
 
 func TestRefusalsComeAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ga := admission.NewController(10)
-		enter := func(rank policy.RankID, latest time.Duration) error {
+		co := admission.NewController(10)
+		acquire := func(rank policy.RankID, latest time.Duration) error {
 			started := time.Now()
-			err := ga.Acquire(t.Context(), &admission.Ticket{Organisation: "o", Share: 1, Rank: rank, Cost: 10, LatestStart: started.Add(latest)})
-			qt.Check(t, time.Since(started) == 0, qt.IsTrue, qt.Commentf("held for %s", time.Since(started)))
+			err := co.Acquire(t.Context(), &admission.Ticket{Organisation: "o", Share: 1, Rank: rank, Cost: 10, LatestStart: started.Add(latest)})
+			qt.Check(t, time.Since(started) == 0, qt.IsTrue, qt.Commentf("blocked for %s", time.Since(started)))
 			return err
 		}
 		reason := func(err error) admission.Reason {
@@ -130,19 +132,19 @@
 			qt.Assert(t, re.RetryAt.After(time.Now()), qt.IsTrue)
 			return re.Reason
 		}
-		qt.Assert(t, reason(enter("urgent", time.Minute)), qt.Equals, admission.ReasonUnknownRank)
-		ga.Update(func(qu *admission.Queue, _ time.Time) { qu.SetRanks(ranks()) })
-		qt.Assert(t, reason(enter("urgent", time.Minute)), qt.Equals, admission.ReasonNoCapacity)
-		ga.Update(func(qu *admission.Queue, now time.Time) { qu.SetCapacity(now, 1) })
-		qt.Assert(t, enter("urgent", time.Minute), qt.IsNil)
-		qt.Assert(t, reason(enter("urgent", -time.Second)), qt.Equals, admission.ReasonDeadlineUnreachable)
+		qt.Assert(t, reason(acquire("urgent", time.Minute)), qt.Equals, admission.ReasonUnknownRank)
+		co.Update(func(qu *admission.Queue, _ time.Time) { qu.SetRanks(ranks()) })
+		qt.Assert(t, reason(acquire("urgent", time.Minute)), qt.Equals, admission.ReasonNoCapacity)
+		co.Update(func(qu *admission.Queue, now time.Time) { qu.SetCapacity(now, 1) })
+		qt.Assert(t, acquire("urgent", time.Minute), qt.IsNil)
+		qt.Assert(t, reason(acquire("urgent", -time.Second)), qt.Equals, admission.ReasonDeadlineUnreachable)
 	})
 }
 
 func TestCallerThatLeavesTheQueueTakesNoSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ga := admission.NewController(10)
-		ga.Update(func(qu *admission.Queue, now time.Time) {
+		co := admission.NewController(10)
+		co.Update(func(qu *admission.Queue, now time.Time) {
 			qu.SetRanks(ranks())
 			qu.SetCapacity(now, 1)
 		})
@@ -150,17 +152,17 @@
 			return &admission.Ticket{Organisation: "o", Share: 1, Rank: "urgent", Cost: 1, LatestStart: time.Now().Add(time.Hour)}
 		}
 		first := ticket()
-		qt.Assert(t, ga.Acquire(t.Context(), first), qt.IsNil)
+		qt.Assert(t, co.Acquire(t.Context(), first), qt.IsNil)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		qt.Assert(t, ga.Acquire(ctx, ticket()), qt.IsNotNil)
-		ga.Release(first, 1)
-		qt.Assert(t, ga.Acquire(t.Context(), ticket()), qt.IsNil)
+		qt.Assert(t, co.Acquire(ctx, ticket()), qt.IsNotNil)
+		co.Release(first, 1)
+		qt.Assert(t, co.Acquire(t.Context(), ticket()), qt.IsNil)
 	})
 }
 
-// BenchmarkDecision measures one request through a queue, with many
-// organisations waiting.
+// BenchmarkDecision measures offering, starting and ending one request while
+// many organisations have waiting requests.
 func BenchmarkDecision(b *testing.B) {
 	for _, orgs := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("organisations-%d", orgs), func(b *testing.B) {
--- a/admission/usage.go
+++ b/admission/usage.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// advance brings credits and smoothed shares up to a time.
+// advance updates the floor credits, the moving averages and the dither to now.
 func (qu *Queue) advance(now time.Time) {
-	dt := now.Sub(qu.at).Seconds()
+	dt := now.Sub(qu.updatedAt).Seconds()
 	if dt <= 0 {
 		return
 	}
-	qu.at = now
-	weight := 1 - math.Exp(-dt/shareSmoothing.Seconds())
+	qu.updatedAt = now
+	weight := 1 - math.Exp(-dt/levelSmoothing.Seconds())
 	for _, rq := range qu.ranks {
 		qu.addCredit(rq, dt)
 		for i := range rq.levels {
@@ -24,35 +24,37 @@
 		_, qu.dither = math.Modf(qu.dither + goldenRatio)
 		qu.ditherUntil = now.Add(ditherInterval)
 	}
-	if qu.inflation(now) > renormaliseAt {
+	if qu.inflation(now) > maxInflation {
 		qu.renormalise(now)
 	}
 }
 
-// addCredit gives a rank its floor for a time, less what it used.
+// addCredit adds a rank's floor over dt seconds to its credit, less the slots
+// that it used. The credit is bounded both ways.
 func (qu *Queue) addCredit(rq *rankQueue, dt float64) {
 	floor := rq.Floor * float64(qu.capacity)
-	limit := floor*creditLimit + creditBase
+	limit := floor*maxCreditSeconds + maxCreditBase
 	rq.credit = min(limit, max(-limit, rq.credit+(floor-float64(rq.running))*dt))
 	if rq.waiting == 0 {
-		rq.credit = min(idleCredit, rq.credit)
+		rq.credit = min(maxIdleCredit, rq.credit)
 	}
 }
 
-// renormalise moves the epoch, and forgets organisations without usage.
+// renormalise moves the epoch to now, scales all usage accordingly, and drops
+// organisations whose usage has decayed. It keeps the inflated usage small.
 func (qu *Queue) renormalise(now time.Time) {
 	scale := 1 / qu.inflation(now)
 	for _, rq := range qu.ranks {
 		rq.usage = 0
 		for id, or := range rq.orgs {
-			or.used *= scale
-			or.remote *= scale
-			if or.score() < forgetBelow && len(or.wait) == 0 {
-				rq.activeShares -= or.share
+			or.localUsage *= scale
+			or.peerUsage *= scale
+			if or.score() < minActiveScore && len(or.tickets) == 0 {
+				rq.knownShares -= or.share
 				delete(rq.orgs, id)
 				continue
 			}
-			rq.usage += or.used + or.remote
+			rq.usage += or.localUsage + or.peerUsage
 		}
 	}
 	qu.epoch = now
