--- a/placement/balancer.go
+++ b/placement/balancer.go
@@ -10,230 +10,246 @@
 )
 
 const (
-	// runningCost is what each running stream delays a new prompt.
-	runningCost = Work(0.006)
-	// overflowCost is what each request beyond an endpoint's slots waits.
-	overflowCost = Work(0.3)
-	// failureCost is what a certain failure costs, in seconds.
-	failureCost = 1.5
-	// farCost is what an endpoint in another failure domain costs, in seconds:
-	// the bytes on the way are paid for.
-	farCost = 0.3
-	// failureSmoothing and speedSmoothing weigh a new outcome.
-	failureSmoothing = 0.2
-	speedSmoothing   = 0.25
-	// slowest and fastest bound an endpoint's measured factor.
-	slowest = 32.0
-	fastest = 0.5
-	// overdueFactor times its estimate is when an answer is overdue.
+	// streamDelay is how much each running stream delays the answer to a new prompt.
+	streamDelay = Work(0.006)
+	// overflowDelay is the least wait for each request beyond an endpoint's slots.
+	overflowDelay = Work(0.3)
+	// failurePenalty is added to the score of an endpoint that always fails, in
+	// seconds.
+	failurePenalty = 1.5
+	// crossDomainPenalty is added to the score of an endpoint in another failure
+	// domain, in seconds, since traffic between failure domains is paid for.
+	crossDomainPenalty = 0.3
+	// failureSmoothing and slowdownSmoothing are the weights of a new outcome in
+	// the moving averages of an endpoint's failure rate and slowdown.
+	failureSmoothing  = 0.2
+	slowdownSmoothing = 0.25
+	// maxSlowdown and fastest bound an endpoint's measured factor.
+	maxSlowdown = 32.0
+	minSlowdown = 0.5
+	// overdueFactor times its estimate is the time after which an answer that has
+	// not begun is overdue.
 	overdueFactor = 3.0
-	// jitter spreads choices that are about as good.
+	// jitter is the random part of a score, which spreads the choice over
+	// endpoints that are nearly equal.
 	jitter = 0.1
 )
 
-// Work is an amount of work, in seconds of an idle endpoint.
+// Work is an amount of work, in seconds on an idle endpoint.
 type Work float64
 
-// Job is what a request asks of an endpoint.
+// Job is the work of a request on an endpoint.
 type Job struct {
-	// Prefix names the shared start of its prompt, 0 when there is none.
+	// Prefix is the hash of the prompt's shared prefix, 0 when there is none.
 	Prefix Prefix
-	// Work is what it takes until the answer begins, and Cached the part of it
-	// that a cached start saves.
+	// Work is the work until the answer begins, and CacheSaving the part of it
+	// that a cached prefix saves.
 	Work        Work
 	CacheSaving Work
 }
 
-// Load is what one entry has at an endpoint.
+// Load is the load that one router has placed on an endpoint.
 type Load struct {
+	// Running is the number of its requests in flight.
 	Running int
-	// Backlog is the work that has not begun to be answered.
+	// Backlog is the work of those whose answer has not begun.
 	Backlog Work
 }
 
-// node is what is known of one endpoint.
-type node struct {
+// endpointState is what the balancer knows of one endpoint.
+type endpointState struct {
 	suspension
-	own    Load
-	others Load
-	// reported is what the endpoint said that it has, ownThen this entry's part.
+	own   Load
+	peers Load
+	// reported is the number of requests that the endpoint last reported, and
+	// ownAtReport this router's requests in flight there at that time.
 	reported      int
-	ownThen       int
+	ownAtReport   int
 	reportedUntil time.Time
-	// pending are this entry's jobs whose answer has not begun.
-	pending map[JobID]pending
-	// speed is the measured time against the expected.
-	speed float64
-	// failing is the smoothed share of failures.
-	failing float64
+	// pending holds this router's jobs whose answer has not begun.
+	pending map[JobID]pendingJob
+	// slowdown is the moving average of the measured time until an answer begins
+	// relative to the estimate.
+	slowdown float64
+	// failureRate is the moving average of the share of failures, from 0 to 1.
+	failureRate float64
 }
 
-// JobID names a job that was placed.
+// JobID identifies a placed job within its balancer.
 type JobID uint64
 
-// pending is a job whose answer has not begun.
-type pending struct {
+// pendingJob is a job whose answer has not begun.
+type pendingJob struct {
 	work Work
 	// dueAt is when the answer should have begun.
 	dueAt time.Time
 }
 
-// overdue is how late the answers of an endpoint are to begin, in seconds: the
-// sign of one that is stuck, long before any answer of it says so.
-func (no *node) overdue(now time.Time) float64 {
+// maxOverdue returns by how many seconds the most overdue answer of an endpoint
+// is late to begin. It shows that an endpoint is stuck long before any of its
+// answers does.
+func (es *endpointState) maxOverdue(now time.Time) float64 {
 	late := 0.0
-	for _, pe := range no.pending {
-		late = max(late, now.Sub(pe.dueAt).Seconds())
+	for _, pj := range es.pending {
+		late = max(late, now.Sub(pj.dueAt).Seconds())
 	}
 	return late
 }
 
-// Assignment is where a job goes.
+// Assignment is a job together with the endpoint chosen for it.
 type Assignment struct {
 	Endpoint policy.Endpoint
 	JobID    JobID
 	Job      Job
-	// Estimate is the work that is done before the job's answer begins, its own
-	// included.
+	// Estimate is the work that the endpoint does before the job's answer
+	// begins, including the job's own.
 	Estimate Work
 }
 
-// Balancer chooses endpoints by the time until they would answer, in one scale:
-// work before it, the batch beside it, what is cached, how fast and how
-// reliable the endpoint has been. It answers two loads: long prompts that crowd
-// on the endpoint that has their start cached, and endpoints that are slow or
-// fail while they look idle.
+// Balancer chooses the endpoint with the lowest estimated time until its answer
+// begins. The estimate combines, in seconds, the queued work, the requests
+// batched with it, the cached prefix, and the endpoint's measured slowdown and
+// failure rate. It is made for two cases: many long prompts with a shared
+// prefix, which must not all queue at the endpoint that has it cached, and
+// endpoints that are slow or fail although they look idle.
 //
 // mu guards all fields. No other lock is taken while it is held.
 type Balancer struct {
-	mu          sync.Mutex
-	rng         *rand.Rand
-	nodes       map[policy.EndpointID]*node
-	sent        map[remembered]time.Time
-	domain      policy.FailureDomain
-	othersUntil time.Time
-	last        JobID
+	mu         sync.Mutex
+	rng        *rand.Rand
+	states     map[policy.EndpointID]*endpointState
+	sentAt     map[endpointPrefix]time.Time
+	domain     policy.FailureDomain
+	peersUntil time.Time
+	lastJob    JobID
 }
 
-// NewBalancer gives a balancer that knows nothing, for an entry in a failure
-// domain; seed drives its chances.
+// NewBalancer returns a balancer without any load, for a router in the given
+// failure domain. seed seeds its random choices.
 func NewBalancer(seed uint64, domain policy.FailureDomain) *Balancer {
 	return &Balancer{
 		domain: domain,
 		rng:    rand.New(rand.NewPCG(seed, mix(seed))),
-		nodes:  map[policy.EndpointID]*node{}, sent: map[remembered]time.Time{},
+		states: map[policy.EndpointID]*endpointState{}, sentAt: map[endpointPrefix]time.Time{},
 	}
 }
 
-// Choose picks an endpoint and counts the job there; Answered and Done must
-// follow. tried are endpoints that failed this request.
+// Choose chooses one of the endpoints ens for a job and counts the job there.
+// It reports false when none may be used. Otherwise the caller must call
+// AnswerStarted when the answer begins, and Done when the job ends. tried lists
+// the endpoints that already failed this request; usable reports whether the
+// caller allows an endpoint with the given requests in flight.
 func (ba *Balancer) Choose(now time.Time, ens []policy.Endpoint, jo Job, tried []policy.EndpointID, usable func(en policy.Endpoint, ru Running) bool) (Assignment, bool) {
 	ba.mu.Lock()
 	defer ba.mu.Unlock()
 	ens = slices.DeleteFunc(slices.Clone(ens), func(en policy.Endpoint) bool {
-		return slices.Contains(tried, en.ID) || !usable(en, ba.running(now, en.ID)) || !ba.node(en.ID).open(now)
+		return slices.Contains(tried, en.ID) || !usable(en, ba.running(now, en.ID)) || !ba.state(en.ID).allows(now)
 	})
 	if len(ens) == 0 {
 		return Assignment{}, false
 	}
-	credits := ba.credits(now, ens, jo)
+	shares := ba.cachedShares(now, ens, jo)
 	best, bestScore := 0, 0.0
 	for i, en := range ens {
-		score := ba.score(now, en, jo, credits[i]) * (1 + jitter*ba.rng.Float64())
+		score := ba.score(now, en, jo, shares[i]) * (1 + jitter*ba.rng.Float64())
 		if i == 0 || score < bestScore {
 			best, bestScore = i, score
 		}
 	}
 	en := ens[best]
-	no := ba.node(en.ID)
-	estimate := ba.wait(now, en, jo, credits[best])
-	no.own.Running++
-	no.own.Backlog += jo.Work
-	no.probe()
-	ba.last++
+	es := ba.state(en.ID)
+	estimate := ba.estimateWait(now, en, jo, shares[best])
+	es.own.Running++
+	es.own.Backlog += jo.Work
+	es.recordSend()
+	ba.lastJob++
 	dueAt := now.Add(time.Duration(overdueFactor * float64(estimate) * float64(time.Second)))
-	no.pending[ba.last] = pending{work: jo.Work, dueAt: dueAt}
-	ba.remember(now, jo.Prefix, en.ID)
-	return Assignment{Endpoint: en, JobID: ba.last, Job: jo, Estimate: estimate}, true
+	es.pending[ba.lastJob] = pendingJob{work: jo.Work, dueAt: dueAt}
+	ba.recordSent(now, jo.Prefix, en.ID)
+	return Assignment{Endpoint: en, JobID: ba.lastJob, Job: jo, Estimate: estimate}, true
 }
 
-// score estimates the seconds until an endpoint would answer, in view of how it
-// has been.
-func (ba *Balancer) score(now time.Time, en policy.Endpoint, jo Job, credit float64) float64 {
-	no := ba.node(en.ID)
-	score := no.speed*float64(ba.wait(now, en, jo, credit)) + no.failing*failureCost + no.overdue(now)
+// score estimates the seconds until an endpoint would begin to answer, adjusted
+// for its slowdown, failures, overdue answers and failure domain. Lower is
+// better.
+func (ba *Balancer) score(now time.Time, en policy.Endpoint, jo Job, cachedShare float64) float64 {
+	es := ba.state(en.ID)
+	score := es.slowdown*float64(ba.estimateWait(now, en, jo, cachedShare)) + es.failureRate*failurePenalty + es.maxOverdue(now)
 	if policy.FailureDomain(en.FailureDomain) != ba.domain {
-		score += farCost
+		score += crossDomainPenalty
 	}
 	return score
 }
 
-// wait estimates the work that is done at an endpoint before a job's answer
-// begins.
-func (ba *Balancer) wait(now time.Time, en policy.Endpoint, jo Job, credit float64) Work {
-	no := ba.node(en.ID)
-	load := no.own
-	if now.Before(ba.othersUntil) {
-		load.Running += no.others.Running
-		load.Backlog += no.others.Backlog
-	} else if now.Before(no.reportedUntil) {
-		load.Running = max(load.Running, no.reported+no.own.Running-no.ownThen)
+// estimateWait estimates the work that an endpoint does before a job's answer
+// begins. cachedShare is the part of the job's prefix expected in its cache.
+func (ba *Balancer) estimateWait(now time.Time, en policy.Endpoint, jo Job, cachedShare float64) Work {
+	es := ba.state(en.ID)
+	load := es.own
+	if now.Before(ba.peersUntil) {
+		load.Running += es.peers.Running
+		load.Backlog += es.peers.Backlog
+	} else if now.Before(es.reportedUntil) {
+		load.Running = max(load.Running, es.reported+es.own.Running-es.ownAtReport)
 	}
-	wait := load.Backlog + Work(load.Running)*runningCost
+	wait := load.Backlog + Work(load.Running)*streamDelay
 	if over := load.Running + 1 - int(en.Slots); over > 0 {
-		wait += Work(over) * max(overflowCost, jo.Work)
+		wait += Work(over) * max(overflowDelay, jo.Work)
 	}
-	return wait + jo.Work - Work(credit)*jo.CacheSaving
+	return wait + jo.Work - Work(cachedShare)*jo.CacheSaving
 }
 
-// AnswerStarted tells that an endpoint began to answer a job after a time.
-func (ba *Balancer) AnswerStarted(pl Assignment, took time.Duration) {
+// AnswerStarted records that an endpoint began to answer a job, and how long
+// after the job was sent.
+func (ba *Balancer) AnswerStarted(as Assignment, took time.Duration) {
 	ba.mu.Lock()
 	defer ba.mu.Unlock()
-	no := ba.node(pl.Endpoint.ID)
-	no.settle(pl.JobID)
-	if pl.Estimate > 0 {
-		factor := min(slowest, max(fastest, took.Seconds()/float64(pl.Estimate)))
-		no.speed += speedSmoothing * (factor - no.speed)
+	es := ba.state(as.Endpoint.ID)
+	es.removePending(as.JobID)
+	if as.Estimate > 0 {
+		factor := min(maxSlowdown, max(minSlowdown, took.Seconds()/float64(as.Estimate)))
+		es.slowdown += slowdownSmoothing * (factor - es.slowdown)
 	}
 }
 
-// settle takes a job off the backlog, once.
-func (no *node) settle(ti JobID) {
-	pe, ok := no.pending[ti]
+// removePending removes a job from the backlog. It does nothing when the job was
+// removed before.
+func (es *endpointState) removePending(id JobID) {
+	pj, ok := es.pending[id]
 	if !ok {
 		return
 	}
-	delete(no.pending, ti)
-	no.own.Backlog = max(0, no.own.Backlog-pe.work)
+	delete(es.pending, id)
+	es.own.Backlog = max(0, es.own.Backlog-pj.work)
 }
 
-// Done ends a job, and tells whether the endpoint was suspended or taken back.
-func (ba *Balancer) Done(now time.Time, pl Assignment, re Result) (suspended, resumed bool) {
+// Done ends a job with its result, and reports whether that suspended the
+// endpoint or ended its suspension.
+func (ba *Balancer) Done(now time.Time, as Assignment, re Result) (suspended, resumed bool) {
 	ba.mu.Lock()
 	defer ba.mu.Unlock()
-	no := ba.node(pl.Endpoint.ID)
-	no.settle(pl.JobID)
-	no.own.Running--
+	es := ba.state(as.Endpoint.ID)
+	es.removePending(as.JobID)
+	es.own.Running--
 	switch re {
 	case Succeeded:
-		no.failing -= failureSmoothing * no.failing
+		es.failureRate -= failureSmoothing * es.failureRate
 	case Failed, AnsweredWithError:
-		no.failing += failureSmoothing * (1 - no.failing)
+		es.failureRate += failureSmoothing * (1 - es.failureRate)
 	}
-	return no.note(now, re, ba.rng.Float64())
+	return es.recordResult(now, re, ba.rng.Float64())
 }
 
-// RecordLoad takes in the requests that an endpoint says it has. It counts while
-// the other entries tell nothing.
+// RecordLoad records the number of requests that an endpoint reported. It is
+// used only while there are no valid reports of the other routers.
 func (ba *Balancer) RecordLoad(now time.Time, id policy.EndpointID, requests int) {
 	ba.mu.Lock()
 	defer ba.mu.Unlock()
-	no := ba.node(id)
-	no.reported, no.ownThen, no.reportedUntil = requests, no.own.Running, now.Add(reportLifetime)
+	es := ba.state(id)
+	es.reported, es.ownAtReport, es.reportedUntil = requests, es.own.Running, now.Add(endpointReportLifetime)
 }
 
-// MeanBacklog gives the work that waits at the mean endpoint.
+// MeanBacklog returns the mean backlog of the endpoints.
 func (ba *Balancer) MeanBacklog(now time.Time, ens []policy.Endpoint) Work {
 	ba.mu.Lock()
 	defer ba.mu.Unlock()
@@ -242,81 +258,84 @@
 	}
 	sum := Work(0)
 	for _, en := range ens {
-		no := ba.node(en.ID)
-		sum += no.own.Backlog
-		if now.Before(ba.othersUntil) {
-			sum += no.others.Backlog
+		es := ba.state(en.ID)
+		sum += es.own.Backlog
+		if now.Before(ba.peersUntil) {
+			sum += es.peers.Backlog
 		}
 	}
 	return sum / Work(len(ens))
 }
 
-// SetPeerLoads takes in what the other entries have at each endpoint. It counts
-// for a few seconds.
-func (ba *Balancer) SetPeerLoads(now time.Time, others map[policy.EndpointID]Load) {
+// SetPeerLoads replaces the loads that the other routers have placed on each
+// endpoint. They expire after peerReportLifetime.
+func (ba *Balancer) SetPeerLoads(now time.Time, peers map[policy.EndpointID]Load) {
 	ba.mu.Lock()
 	defer ba.mu.Unlock()
-	ba.othersUntil = now.Add(othersLifetime)
-	for _, no := range ba.nodes {
-		no.others = Load{}
+	ba.peersUntil = now.Add(peerReportLifetime)
+	for _, es := range ba.states {
+		es.peers = Load{}
 	}
-	for id, lo := range others {
-		ba.node(id).others = lo
+	for id, lo := range peers {
+		ba.state(id).peers = lo
 	}
 }
 
-// Loads gives what this entry has at each endpoint.
+// Loads returns this router's load on each endpoint where it has requests in
+// flight.
 func (ba *Balancer) Loads() map[policy.EndpointID]Load {
 	ba.mu.Lock()
 	defer ba.mu.Unlock()
 	out := map[policy.EndpointID]Load{}
-	for id, no := range ba.nodes {
-		if no.own.Running > 0 {
-			out[id] = no.own
+	for id, es := range ba.states {
+		if es.own.Running > 0 {
+			out[id] = es.own
 		}
 	}
 	return out
 }
 
-// Running is the requests in flight at an endpoint.
+// Running is the number of requests in flight at an endpoint.
 type Running struct {
-	// Own are this entry's, All those of every entry.
+	// Own counts this router's requests, All those of every router.
 	Own, All int
 }
 
-// running gives the requests in flight at an endpoint.
+// running returns the requests in flight at an endpoint.
 func (ba *Balancer) running(now time.Time, id policy.EndpointID) Running {
-	no := ba.node(id)
-	ru := Running{Own: no.own.Running, All: no.own.Running}
-	if now.Before(ba.othersUntil) {
-		ru.All += no.others.Running
+	es := ba.state(id)
+	ru := Running{Own: es.own.Running, All: es.own.Running}
+	if now.Before(ba.peersUntil) {
+		ru.All += es.peers.Running
 	}
 	return ru
 }
 
-// Healthy tells whether an endpoint is not suspended.
+// Healthy reports whether an endpoint is not suspended.
 func (ba *Balancer) Healthy(id policy.EndpointID) bool {
 	ba.mu.Lock()
 	defer ba.mu.Unlock()
-	return ba.node(id).healthy()
+	return ba.state(id).healthy()
 }
 
-// Prune forgets endpoints that are gone and have nothing in flight.
+// Prune removes the state of endpoints that are not known any more and have no
+// requests in flight.
 func (ba *Balancer) Prune(known func(id policy.EndpointID) bool) {
 	ba.mu.Lock()
 	defer ba.mu.Unlock()
-	for id, no := range ba.nodes {
-		if no.own.Running <= 0 && !known(id) {
-			delete(ba.nodes, id)
+	for id, es := range ba.states {
+		if es.own.Running <= 0 && !known(id) {
+			delete(ba.states, id)
 		}
 	}
 }
 
-func (ba *Balancer) node(id policy.EndpointID) *node {
-	no, ok := ba.nodes[id]
+// state returns the state of an endpoint, which it creates when there is none.
+func (ba *Balancer) state(id policy.EndpointID) *endpointState {
+	es, ok := ba.states[id]
 	if !ok {
-		no = &node{speed: 1, pending: map[JobID]pending{}}
-		ba.nodes[id] = no
+		es = &endpointState{slowdown: 1, pending: map[JobID]pendingJob{}}
+		ba.states[id] = es
 	}
-	return no
+	return es
 }
--- a/placement/balancer_test.go
+++ b/placement/balancer_test.go
@@ -24,56 +24,58 @@
 
 func anyEndpoint(policy.Endpoint, placement.Running) bool { return true }
 
-// TestLongPromptsWithOneStartAreSpread replays a crowd of long prompts that
-// share their start: they must not queue up where it is cached.
-func TestLongPromptsWithOneStartAreSpread(t *testing.T) {
+// TestLongPromptsWithSharedPrefixAreSpread sends many long prompts with one
+// prefix at the same time. They must not all queue at the endpoint that has the
+// prefix cached.
+func TestLongPromptsWithSharedPrefixAreSpread(t *testing.T) {
 	ba := placement.NewBalancer(1, "")
 	counts := map[policy.EndpointID]int{}
 	jo := placement.Job{Prefix: 7, Work: 0.5, CacheSaving: 0.2}
 	for range 45 {
-		pl, ok := ba.Choose(begin, engines(9), jo, nil, anyEndpoint)
+		as, ok := ba.Choose(begin, engines(9), jo, nil, anyEndpoint)
 		qt.Assert(t, ok, qt.IsTrue)
-		counts[pl.Endpoint.ID]++
+		counts[as.Endpoint.ID]++
 	}
 	for id, n := range counts {
 		qt.Assert(t, n <= 8, qt.IsTrue, qt.Commentf("%s has %d of 45", id, n))
 	}
 }
 
-// TestCachedStartIsUsedWhileThereIsRoom sends prompts one after the other.
-func TestCachedStartIsUsedWhileThereIsRoom(t *testing.T) {
+// TestCachedPrefixIsUsedWhileThereIsRoom sends prompts with one prefix one after
+// the other. All must go to the endpoint that has it cached.
+func TestCachedPrefixIsUsedWhileThereIsRoom(t *testing.T) {
 	ba := placement.NewBalancer(1, "")
 	counts := map[policy.EndpointID]int{}
 	jo := placement.Job{Prefix: 7, Work: 0.5, CacheSaving: 0.3}
 	now := begin
 	for range 20 {
-		pl, _ := ba.Choose(now, engines(9), jo, nil, anyEndpoint)
-		counts[pl.Endpoint.ID]++
+		as, _ := ba.Choose(now, engines(9), jo, nil, anyEndpoint)
+		counts[as.Endpoint.ID]++
 		now = now.Add(500 * time.Millisecond)
-		ba.AnswerStarted(pl, 200*time.Millisecond)
-		ba.Done(now, pl, placement.Succeeded)
+		ba.AnswerStarted(as, 200*time.Millisecond)
+		ba.Done(now, as, placement.Succeeded)
 	}
 	qt.Assert(t, counts, qt.HasLen, 1)
 }
 
-// TestStuckEndpointIsLeftBeforeItAnswers has one endpoint take eight times as
-// long: while its first answers are still out, work goes elsewhere.
+// TestStuckEndpointIsLeftBeforeItAnswers has one endpoint that never begins to
+// answer. It must get no more work although it has not failed any request.
 func TestStuckEndpointIsLeftBeforeItAnswers(t *testing.T) {
 	ba := placement.NewBalancer(1, "")
 	stuck := policy.EndpointID("e3")
 	var out []placement.Assignment
 	now, late := begin, 0
 	for i := range 400 {
-		pl, ok := ba.Choose(now, engines(9), placement.Job{Work: 0.05}, nil, anyEndpoint)
+		as, ok := ba.Choose(now, engines(9), placement.Job{Work: 0.05}, nil, anyEndpoint)
 		qt.Assert(t, ok, qt.IsTrue)
-		if pl.Endpoint.ID == stuck {
-			out = append(out, pl)
+		if as.Endpoint.ID == stuck {
+			out = append(out, as)
 			if i > 100 {
 				late++
 			}
 		} else {
-			ba.AnswerStarted(pl, 50*time.Millisecond)
-			ba.Done(now, pl, placement.Succeeded)
+			ba.AnswerStarted(as, 50*time.Millisecond)
+			ba.Done(now, as, placement.Succeeded)
 		}
 		now = now.Add(10 * time.Millisecond)
 	}
@@ -81,22 +83,23 @@
 	qt.Assert(t, late, qt.Equals, 0)
 }
 
-// TestFailingEndpointGetsLess has one endpoint fail half of its requests.
+// TestFailingEndpointGetsLess has one of three endpoints fail half of its
+// requests. It must get far less than a third of them.
 func TestFailingEndpointGetsLess(t *testing.T) {
 	ba := placement.NewBalancer(1, "")
 	now, there := begin, 0
 	for i := range 300 {
-		pl, ok := ba.Choose(now, engines(3), placement.Job{Work: 0.03}, nil, anyEndpoint)
+		as, ok := ba.Choose(now, engines(3), placement.Job{Work: 0.03}, nil, anyEndpoint)
 		qt.Assert(t, ok, qt.IsTrue)
 		re := placement.Succeeded
-		if pl.Endpoint.ID == "e1" {
+		if as.Endpoint.ID == "e1" {
 			there++
 			if i%2 == 0 {
 				re = placement.AnsweredWithError
 			}
 		}
-		ba.AnswerStarted(pl, 30*time.Millisecond)
-		ba.Done(now, pl, re)
+		ba.AnswerStarted(as, 30*time.Millisecond)
+		ba.Done(now, as, re)
 		now = now.Add(20 * time.Millisecond)
 	}
 	qt.Assert(t, there < 40, qt.IsTrue, qt.Commentf("%d of 300", there))
@@ -106,17 +109,17 @@
 	ba := placement.NewBalancer(1, "")
 	ba.SetPeerLoads(begin, map[policy.EndpointID]placement.Load{"e0": {Running: 30, Backlog: 2}, "e1": {Running: 30, Backlog: 2}})
 	for range 5 {
-		pl, _ := ba.Choose(begin, engines(3), placement.Job{Work: 0.05}, nil, anyEndpoint)
-		qt.Assert(t, pl.Endpoint.ID, qt.Equals, policy.EndpointID("e2"))
+		as, _ := ba.Choose(begin, engines(3), placement.Job{Work: 0.05}, nil, anyEndpoint)
+		qt.Assert(t, as.Endpoint.ID, qt.Equals, policy.EndpointID("e2"))
 	}
 	qt.Assert(t, float64(ba.MeanBacklog(begin, engines(3))) > 1.3, qt.IsTrue)
 }
 
-func TestBacklogIsSettledOnce(t *testing.T) {
+func TestJobLeavesBacklogOnce(t *testing.T) {
 	ba := placement.NewBalancer(1, "")
-	pl, _ := ba.Choose(begin, engines(1), placement.Job{Work: 1}, nil, anyEndpoint)
+	as, _ := ba.Choose(begin, engines(1), placement.Job{Work: 1}, nil, anyEndpoint)
 	ba.Choose(begin, engines(1), placement.Job{Work: 1}, nil, anyEndpoint)
-	ba.AnswerStarted(pl, time.Second)
-	ba.Done(begin, pl, placement.Succeeded)
+	ba.AnswerStarted(as, time.Second)
+	ba.Done(begin, as, placement.Succeeded)
 	qt.Assert(t, ba.Loads()["e0"], qt.Equals, placement.Load{Running: 1, Backlog: 1})
 }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -1,12 +1,17 @@
-// Package placement chooses the endpoint for a request.
+// Package placement chooses the endpoint for a request. Tracker does so for an
+// entry, Balancer for a router.
 //
-// A request goes where its prompt's prefix is likely to be cached: prefixes
-// are spread over the endpoints by consistent hashing with bounded loads
-// (Mirrokni, Thorup and Zadimoghaddam, 2016), the more of them the more requests
-// ask for it. When the endpoints that the
-// prefix leads to are loaded, the least loaded of a few chosen at random gets
-// it (Mitzenmacher, 2001). Load is what the entries have in flight: daemons that
-// go by the same old reports would all choose alike.
+// Tracker sends a request where its prompt's prefix is likely to be cached.
+// Prefixes are assigned to endpoints by consistent hashing with bounded loads
+// (Mirrokni, Thorup and Zadimoghaddam, 2016); a prefix that more requests ask
+// for gets more endpoints. When all endpoints of the prefix are loaded, the
+// request goes to the least loaded of a few chosen at random (Mitzenmacher,
+// 2001). Load is measured by the entries' requests in flight rather than by the
+// endpoints' own reports, since entries that decide by the same old reports
+// would all choose the same endpoint.
+//
+// Balancer estimates the time until each endpoint would answer and chooses the
+// lowest.
 package placement
 
 import (
@@ -23,37 +28,46 @@
 )
 
 const (
-	// minHomes is how many endpoints the rarest prefix is tried on.
-	minHomes = 2
-	// spareHomes is how many further endpoints a prefix is tried on for each that
-	// its requests alone would keep busy, so that it finds one with a free slot.
-	spareHomes = 3.0
-	// stepPenalty is the load that makes up for one step along the ring.
-	stepPenalty = 0.1
-	// maxAffinityLoad is the load, in slots, up to which a prefix decides. It is
-	// above 1 since ownWeight counts the entry's own requests several times.
+	// minCandidates is the number of endpoints tried for the rarest prefix.
+	minCandidates = 2
+	// extraCandidates is the number of further endpoints tried for each endpoint
+	// that the prefix's requests alone would keep busy, so that one of them has a
+	// free slot.
+	extraCandidates = 3.0
+	// ringStepPenalty is added to an endpoint's load for each candidate before it
+	// on the ring.
+	ringStepPenalty = 0.1
+	// maxAffinityLoad is the load, in requests for each slot, from which an
+	// endpoint is no longer chosen by prefix. It is above 1 since ownWeight counts
+	// the entry's own requests several times.
 	maxAffinityLoad = 1.2
-	// ownWeight and othersWeight weigh this entry's requests in flight against
-	// what others reported of theirs. Its own count is exact, and stands as well for
-	// what entries in the same position have sent since their reports.
-	ownWeight    = 4.0
-	othersWeight = 0.75
-	// randomChoices is how many endpoints are compared by load.
+	// ownWeight and peerWeight are the weights of this entry's requests in flight
+	// and of those that the other entries reported. The own count is exact, and
+	// also stands for the requests that entries in the same situation have sent
+	// since their reports.
+	ownWeight  = 4.0
+	peerWeight = 0.75
+	// randomChoices is how many endpoints chosen at random are compared by load.
 	randomChoices = 8
-	// othersLifetime is how long the other entries' reports are valid.
-	othersLifetime = 4 * time.Second
-	// reportLifetime is how long a report of load counts.
-	reportLifetime = 5 * time.Second
-	// failuresToSuspend in a row suspend an endpoint.
+	// peerReportLifetime is how long the reports of other entries and routers are
+	// valid.
+	peerReportLifetime = 4 * time.Second
+	// endpointReportLifetime is how long an endpoint's report of its load is valid.
+	endpointReportLifetime = 5 * time.Second
+	// failuresToSuspend is how many failures in a row suspend an endpoint.
 	failuresToSuspend = 2
-	firstSuspension   = 500 * time.Millisecond
-	maxSuspension     = 8 * time.Second
+	// firstSuspension is the mean length of the first suspension. It doubles with
+	// each further failure, up to maxSuspension.
+	firstSuspension = 500 * time.Millisecond
+	maxSuspension   = 8 * time.Second
 )
 
 // Prefix is the hash of the start of a prompt.
 type Prefix uint64
 
-// HashPrefix hashes what requests with a common cached prefix share.
+// HashPrefix returns the hash of the organisation, the version and the first
+// bytes of the prompt, which requests that can share a cached prefix have in
+// common.
 func HashPrefix(organisation policy.OrganisationID, version policy.VersionID, prompt []byte) Prefix {
 	const prefixBytes = 256
 	di := xxhash.New()
@@ -62,52 +76,56 @@
 	return Prefix(di.Sum64())
 }
 
-// Tracker keeps what this entry knows of each endpoint.
+// Tracker keeps the state of each endpoint as this entry knows it, and chooses
+// endpoints by it.
 //
 // mu guards the fields below it. No other lock is taken while it is held.
 type Tracker struct {
 	mu     sync.Mutex
 	rng    *rand.Rand
 	states map[policy.EndpointID]*State
-	// othersUntil is until when the other entries' reports are valid.
-	othersUntil time.Time
-	popularity  popularity
+	// peersUntil is when the other entries' reports expire.
+	peersUntil time.Time
+	popularity popularity
 }
 
-// State is what is known of one endpoint.
+// State is what is known of one endpoint. State dumps encode it under its field
+// names.
 type State struct {
+	// InFlight is the number of this entry's requests in flight.
 	InFlight int
-	// Others is the other entries' requests in flight.
+	// Others is the number of the other entries' requests in flight.
 	Others int
-	// Reported is the requests in service that the endpoint reported.
+	// Reported is the number of running requests that the endpoint reported.
 	Reported float64
-	// ReportedInFlight is this entry's part of them.
+	// ReportedInFlight is InFlight at the time of that report.
 	ReportedInFlight int
 	ReportExpiresAt  time.Time
 	suspension
 }
 
-// NewTracker gives an empty tracker; seed drives its random choices.
+// NewTracker returns an empty tracker. seed seeds its random choices.
 func NewTracker(seed uint64) *Tracker {
 	return &Tracker{rng: rand.New(rand.NewPCG(seed, mix(seed))), states: map[policy.EndpointID]*State{}}
 }
 
-// Usable says of an endpoint whether it may get new work; the tracker's own
-// suspensions come on top.
+// Usable reports whether an endpoint may get new work. The tracker's own
+// suspensions apply in addition.
 type Usable func(en policy.Endpoint) bool
 
-// Choose picks an endpoint and counts the request as in flight there; Done
-// must follow. tried are endpoints that failed this request. False when none
-// may be used.
+// Choose chooses an endpoint and counts the request as in flight there. It
+// reports false when none may be used; otherwise the caller must call Done.
+// tried lists the endpoints that already failed this request. A zero prefix
+// means that the request has none.
 func (tr *Tracker) Choose(now time.Time, po *Pool, pr Prefix, tried []policy.EndpointID, usable Usable) (policy.Endpoint, bool) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	may := func(en policy.Endpoint) bool {
-		return !slices.Contains(tried, en.ID) && usable(en) && tr.open(now, en.ID)
+	allowed := func(en policy.Endpoint) bool {
+		return !slices.Contains(tried, en.ID) && usable(en) && tr.available(now, en.ID)
 	}
-	i := tr.byPrefix(now, po, pr, may)
+	i := tr.chooseByPrefix(now, po, pr, allowed)
 	if i < 0 {
-		i = tr.byLoad(now, po, may)
+		i = tr.chooseByLoad(now, po, allowed)
 	}
 	if i < 0 {
 		return policy.Endpoint{}, false
@@ -115,29 +133,29 @@
 	en := po.Endpoints[i]
 	st := tr.state(en.ID)
 	st.InFlight++
-	st.probe()
+	st.recordSend()
 	return en, true
 }
 
-// byPrefix walks the ring from a prefix to the least loaded of the first few
-// endpoints, of which the earlier ones are preferred; -1 when all are loaded. A
-// prefix that many ask for is tried on more of them.
-func (tr *Tracker) byPrefix(now time.Time, po *Pool, pr Prefix, may Usable) int {
+// chooseByPrefix returns the index of the least loaded of the first endpoints on
+// the ring after a prefix, or -1 when all of these are loaded. Earlier ones are
+// preferred, and a popular prefix has more candidates.
+func (tr *Tracker) chooseByPrefix(now time.Time, po *Pool, pr Prefix, allowed Usable) int {
 	if pr == 0 || len(po.points) == 0 {
 		return -1
 	}
-	limit := minHomes + int(spareHomes*tr.popularity.note(pr)*float64(len(po.Endpoints)))
+	limit := minCandidates + int(extraCandidates*tr.popularity.record(pr)*float64(len(po.Endpoints)))
 	first := sort.Search(len(po.points), func(i int) bool { return po.points[i].hash >= uint64(pr) })
-	seen := make([]int, 0, minHomes)
+	seen := make([]int, 0, minCandidates)
 	best, bestScore := -1, math.Inf(1)
 	for step := 0; step < len(po.points) && len(seen) < limit; step++ {
 		i := po.points[(first+step)%len(po.points)].index
 		if slices.Contains(seen, i) {
 			continue
 		}
-		score := float64(len(seen)) * stepPenalty
+		score := float64(len(seen)) * ringStepPenalty
 		seen = append(seen, i)
-		if !may(po.Endpoints[i]) {
+		if !allowed(po.Endpoints[i]) {
 			continue
 		}
 		lo := tr.load(now, po.Endpoints[i])
@@ -148,9 +166,10 @@
 	return best
 }
 
-// byLoad picks the least loaded of some endpoints chosen at random. A mostly
-// unusable pool is searched in order when chance finds none.
-func (tr *Tracker) byLoad(now time.Time, po *Pool, may Usable) int {
+// chooseByLoad returns the index of the least loaded of some endpoints chosen at
+// random, or -1 when none is allowed. When the random choices find none, it goes
+// through the rest of the pool in order.
+func (tr *Tracker) chooseByLoad(now time.Time, po *Pool, allowed Usable) int {
 	n := len(po.Endpoints)
 	if n == 0 {
 		return -1
@@ -163,7 +182,7 @@
 			i = tr.rng.IntN(n)
 		}
 		en := po.Endpoints[i]
-		if !may(en) {
+		if !allowed(en) {
 			continue
 		}
 		if lo := tr.load(now, en); best < 0 || lo < bestLoad {
@@ -173,9 +192,9 @@
 	return best
 }
 
-// load estimates an endpoint's requests in service for each slot. Best known
-// is what the entries have in flight there; without their reports it is what the
-// endpoint reported, and what this entry has sent since.
+// load estimates an endpoint's running requests for each slot: from the entries'
+// requests in flight, or without valid reports of the other entries from the
+// endpoint's own report and what this entry has sent since.
 func (tr *Tracker) load(now time.Time, en policy.Endpoint) float64 {
 	st, ok := tr.states[en.ID]
 	if !ok {
@@ -183,15 +202,16 @@
 	}
 	inService := float64(st.InFlight)
 	switch {
-	case now.Before(tr.othersUntil):
-		inService = ownWeight*float64(st.InFlight) + othersWeight*float64(st.Others)
+	case now.Before(tr.peersUntil):
+		inService = ownWeight*float64(st.InFlight) + peerWeight*float64(st.Others)
 	case now.Before(st.ReportExpiresAt):
 		inService = max(inService, st.Reported+float64(st.InFlight-st.ReportedInFlight))
 	}
 	return inService / float64(en.Slots)
 }
 
-// InFlight gives what this entry has in flight at each endpoint.
+// InFlight returns the number of this entry's requests in flight at each
+// endpoint that has any.
 func (tr *Tracker) InFlight() map[policy.EndpointID]int {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -204,26 +224,27 @@
 	return out
 }
 
-// SetPeerInFlight takes in what the other entries have in flight at each endpoint.
-// It counts for a few seconds.
-func (tr *Tracker) SetPeerInFlight(now time.Time, others map[policy.EndpointID]int) {
+// SetPeerInFlight replaces the numbers of the other entries' requests in flight
+// at each endpoint. They expire after peerReportLifetime.
+func (tr *Tracker) SetPeerInFlight(now time.Time, peers map[policy.EndpointID]int) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	tr.othersUntil = now.Add(othersLifetime)
+	tr.peersUntil = now.Add(peerReportLifetime)
 	for _, st := range tr.states {
 		st.Others = 0
 	}
-	for id, n := range others {
+	for id, n := range peers {
 		tr.state(id).Others = n
 	}
 }
 
-// open tells whether an endpoint is not suspended, or may be probed.
-func (tr *Tracker) open(now time.Time, id policy.EndpointID) bool {
+// available reports whether an endpoint is not suspended, or may be probed.
+func (tr *Tracker) available(now time.Time, id policy.EndpointID) bool {
 	st, ok := tr.states[id]
-	return !ok || st.open(now)
+	return !ok || st.allows(now)
 }
 
+// state returns the state of an endpoint, which it creates when there is none.
 func (tr *Tracker) state(id policy.EndpointID) *State {
 	st, ok := tr.states[id]
 	if !ok {
@@ -233,22 +254,24 @@
 	return st
 }
 
-// RecordUtilisation records the utilisation that an endpoint reported.
+// RecordUtilisation records the utilisation that an endpoint reported, as a
+// share of its slots.
 func (tr *Tracker) RecordUtilisation(now time.Time, en policy.Endpoint, utilisation float64) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	st := tr.state(en.ID)
 	st.Reported = utilisation * float64(en.Slots)
 	st.ReportedInFlight = st.InFlight
-	st.ReportExpiresAt = now.Add(reportLifetime)
+	st.ReportExpiresAt = now.Add(endpointReportLifetime)
 }
 
-// Result is how an attempt ended for its endpoint.
+// Result is what the end of an attempt says about its endpoint.
 type Result int
 
-// The results. Neutral ones, such as a caller's mistake, say nothing of it.
-// AnsweredWithError is an error that the endpoint answered with, which some requests bring
-// about wherever they run: it counts against the endpoint, but does not suspend it.
+// Results of attempts. Neutral says nothing about the endpoint, as when the
+// caller made a mistake. AnsweredWithError is an error response, which some
+// requests cause on any endpoint: it counts against the endpoint but does not
+// suspend it.
 const (
 	Neutral Result = iota
 	Succeeded
@@ -256,17 +279,17 @@
 	AnsweredWithError
 )
 
-// Done ends a request in flight, and tells whether the endpoint was suspended
-// or taken back by it.
+// Done ends a request in flight with its result, and reports whether that
+// suspended the endpoint or ended its suspension.
 func (tr *Tracker) Done(now time.Time, id policy.EndpointID, re Result) (suspended, resumed bool) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	st := tr.state(id)
 	st.InFlight--
-	return st.note(now, re, tr.rng.Float64())
+	return st.recordResult(now, re, tr.rng.Float64())
 }
 
-// Healthy tells whether an endpoint is not suspended.
+// Healthy reports whether an endpoint is not suspended.
 func (tr *Tracker) Healthy(id policy.EndpointID) bool {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -274,7 +297,7 @@
 	return !ok || st.healthy()
 }
 
-// States gives a copy of all states, for dumps.
+// States returns a copy of the endpoints' states, for state dumps.
 func (tr *Tracker) States() map[policy.EndpointID]State {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -285,7 +308,8 @@
 	return out
 }
 
-// Prune forgets endpoints that are gone and have nothing in flight.
+// Prune removes the state of endpoints that are not known any more and have no
+// requests in flight.
 func (tr *Tracker) Prune(known func(id policy.EndpointID) bool) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -40,9 +40,10 @@
 	qt.Assert(t, other.ID, qt.Not(qt.Equals), first.ID)
 }
 
-// TestPopularPrefixGetsMoreHomes replays a prompt that an eighth of all
-// requests share: two endpoints would queue for it while the others idle.
-func TestPopularPrefixGetsMoreHomes(t *testing.T) {
+// TestPopularPrefixGetsMoreEndpoints has an eighth of all requests share one
+// prefix. With only two endpoints for it, its requests would queue there while
+// the other endpoints are idle.
+func TestPopularPrefixGetsMoreEndpoints(t *testing.T) {
 	tr, po := placement.NewTracker(1), pool(8)
 	tr.SetPeerInFlight(start, nil)
 	popular := placement.HashPrefix("o", "v", []byte("popular"))
@@ -56,13 +57,13 @@
 		qt.Assert(t, ok, qt.IsTrue)
 		tr.Done(start, en.ID, placement.Succeeded)
 	}
-	qt.Assert(t, homesOf(t, tr, po, rare), qt.Equals, 2)
-	qt.Assert(t, homesOf(t, tr, po, popular), qt.Equals, 3)
+	qt.Assert(t, endpointsOf(t, tr, po, rare), qt.Equals, 2)
+	qt.Assert(t, endpointsOf(t, tr, po, popular), qt.Equals, 3)
 }
 
-// homesOf gives how many endpoints a prefix's requests go to, of those that
-// stay and fill one slot each.
-func homesOf(t *testing.T, tr *placement.Tracker, po *placement.Pool, pr placement.Prefix) int {
+// endpointsOf returns the number of endpoints that three concurrent requests
+// with a prefix go to.
+func endpointsOf(t *testing.T, tr *placement.Tracker, po *placement.Pool, pr placement.Prefix) int {
 	got := map[policy.EndpointID]int{}
 	for range 3 {
 		en, ok := tr.Choose(start, po, pr, nil, all)
@@ -109,7 +110,7 @@
 	qt.Assert(t, en.ID, qt.Equals, policy.EndpointID("e33"))
 }
 
-// BenchmarkChoose measures one choice among many replicas.
+// BenchmarkChoose measures one choice among many endpoints.
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{10, 100, 2200} {
 		b.Run(fmt.Sprintf("replicas-%d", n), func(b *testing.B) {
--- a/placement/pool.go
+++ b/placement/pool.go
@@ -8,31 +8,34 @@
 	"tanagerpoint.example/tanager/policy"
 )
 
-// pointsPerEndpoint spreads each endpoint over the ring.
+// pointsPerEndpoint is the number of points that each endpoint has on the hash
+// ring, so that endpoints get nearly equal parts of it.
 const pointsPerEndpoint = 32
 
-// Pool is the endpoints that serve one version or service. It is immutable.
+// Pool is the set of endpoints that serve one version or service, with their
+// hash ring. It is immutable.
 type Pool struct {
 	Endpoints []policy.Endpoint
-	points    []point
+	points    []ringPoint
 }
 
-type point struct {
+// ringPoint is a point of the hash ring; index is that of its endpoint.
+type ringPoint struct {
 	hash  uint64
 	index int
 }
 
-// NewPool gives a pool of endpoints.
+// NewPool returns a pool of the given endpoints.
 func NewPool(ens []policy.Endpoint) *Pool {
 	po := &Pool{Endpoints: ens}
 	for i, en := range ens {
 		ha := xxhash.Sum64String(string(en.ID))
 		for range pointsPerEndpoint {
-			po.points = append(po.points, point{hash: ha, index: i})
+			po.points = append(po.points, ringPoint{hash: ha, index: i})
 			ha = mix(ha)
 		}
 	}
-	slices.SortFunc(po.points, func(a, b point) int {
+	slices.SortFunc(po.points, func(a, b ringPoint) int {
 		if a.hash < b.hash {
 			return -1
 		}
@@ -41,7 +44,8 @@
 	return po
 }
 
-// mix is the finaliser of SplitMix64 (Steele, Lea and Flood, 2014).
+// mix returns a hash of ha by the finaliser of SplitMix64 (Steele, Lea and
+// Flood, 2014).
 func mix(ha uint64) uint64 {
 	ha += 0x9e3779b97f4a7c15
 	ha = (ha ^ ha>>30) * 0xbf58476d1ce4e5b9
--- a/placement/suspension.go
+++ b/placement/suspension.go
@@ -2,26 +2,29 @@
 
 import "time"
 
-// suspension keeps an endpoint that fails again and again from getting work,
-// but for a probe now and then.
+// suspension is the circuit breaker of one endpoint. After failuresToSuspend
+// failures in a row the endpoint gets no requests, except one probe at a time
+// after SuspendedUntil; a successful probe ends the suspension.
 type suspension struct {
 	Failures       int
 	SuspendedUntil time.Time
 	probing        bool
 }
 
-// open tells whether the endpoint may get a request.
-func (su *suspension) open(now time.Time) bool {
+// allows reports whether the endpoint may get a request, which may be a probe.
+func (su *suspension) allows(now time.Time) bool {
 	return su.healthy() || now.After(su.SuspendedUntil) && !su.probing
 }
 
 func (su *suspension) healthy() bool { return su.Failures < failuresToSuspend }
 
-// probe notes that a request goes to the endpoint.
-func (su *suspension) probe() { su.probing = !su.healthy() }
+// recordSend records that a request is sent to the endpoint.
+func (su *suspension) recordSend() { su.probing = !su.healthy() }
 
-// note takes an outcome in; chance, from 0 to 1, spreads the ends of suspensions.
-func (su *suspension) note(now time.Time, re Result, chance float64) (suspended, resumed bool) {
+// recordResult records the result of a request, and reports whether it suspended
+// the endpoint or ended its suspension. chance is random, from 0 to 1: it varies
+// the suspension's length by half, so that suspensions do not all end together.
+func (su *suspension) recordResult(now time.Time, re Result, chance float64) (suspended, resumed bool) {
 	su.probing = false
 	switch re {
 	case Succeeded, AnsweredWithError:
