--- a/retry/retry.go
+++ b/retry/retry.go
@@ -1,9 +1,12 @@
-// Package retry bounds how many requests are sent for those received.
+// Package retry limits retries in proportion to the requests received.
 package retry
 
 import "sync"
 
-// Budget allows a share of the received requests to be sent again.
+// Budget is a token bucket of retries, which each received request fills by a
+// fraction of a retry.
+//
+// mu guards all fields. No other lock is taken while it is held.
 type Budget struct {
 	mu    sync.Mutex
 	ratio float64
@@ -11,22 +14,22 @@
 	left  float64
 }
 
-// burst is how many retries may be saved up.
+// burst is the size of the bucket, in retries. A new budget is full.
 const burst = 10
 
-// NewBudget gives a budget of ratio retries for each request received.
+// NewBudget returns a budget of ratio retries for each request received.
 func NewBudget(ratio float64) *Budget {
 	return &Budget{ratio: ratio, limit: burst, left: burst}
 }
 
-// Received counts a request.
+// Received counts a received request.
 func (bu *Budget) Received() {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
 	bu.left = min(bu.limit, bu.left+bu.ratio)
 }
 
-// Take tells whether one retry is allowed, and counts it.
+// Take reports whether one retry is allowed, and counts it if so.
 func (bu *Budget) Take() bool {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
@@ -37,7 +40,7 @@
 	return true
 }
 
-// Left gives the retries that are allowed now.
+// Left returns the number of retries that are allowed now.
 func (bu *Budget) Left() float64 {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
--- a/retry/window.go
+++ b/retry/window.go
@@ -5,76 +5,80 @@
 	"time"
 )
 
-// steps is how many parts a window slides by.
-const steps = 10
+// bucketCount is the number of buckets in the length of a window.
+const bucketCount = 10
 
-// Window allows retries in proportion to the requests received in a sliding
-// window of time. It answers the load in which many requests fail at the same
-// moment, after a while in which few did: what was not used lately may be used
-// then, but never more in a window than the requests of the one before each allow.
+// Window is a retry budget over a sliding window of time: it allows retries in
+// proportion to the requests received in the window. It is made for many
+// requests that fail at the same moment after a time with few failures: the
+// whole allowance of the window is then available at once. Each retry is allowed
+// by the requests of the window that ends with it.
 //
 // mu guards all fields. No other lock is taken while it is held.
 type Window struct {
-	mu    sync.Mutex
-	ratio float64
-	slack float64
-	step  time.Duration
-	// parts holds the last steps and the one under way, which begins at at.
-	parts [steps + 1]part
-	now   int
-	at    time.Time
+	mu           sync.Mutex
+	ratio        float64
+	slack        float64
+	bucketLength time.Duration
+	// buckets is a ring that holds the current bucket, which begins at
+	// currentStart, and the bucketCount buckets before it.
+	buckets      [bucketCount + 1]bucket
+	current      int
+	currentStart time.Time
 }
 
-// part counts what happened in one step of a window.
-type part struct {
+// bucket counts the requests received and the retries taken in one part of a
+// window.
+type bucket struct {
 	received int
 	taken    int
 }
 
-// NewWindow gives an empty window: ratio retries for each request received in
-// it, and slack beside them.
+// NewWindow returns an empty window of the given length, which allows ratio
+// retries for each request received in it, and slack retries in addition.
 func NewWindow(now time.Time, length time.Duration, ratio, slack float64) *Window {
-	return &Window{ratio: ratio, slack: slack, step: length / steps, at: now}
+	return &Window{ratio: ratio, slack: slack, bucketLength: length / bucketCount, currentStart: now}
 }
 
-// Received counts a request.
+// Received counts a received request.
 func (wi *Window) Received(now time.Time) {
 	wi.mu.Lock()
 	defer wi.mu.Unlock()
 	wi.advance(now)
-	wi.parts[wi.now].received++
+	wi.buckets[wi.current].received++
 }
 
-// Take tells whether one retry is allowed, and counts it. share is the part of
-// the allowance that it may draw on, from 0 to 1.
+// Take reports whether one retry is allowed, and counts it if so. share is the
+// part of the allowance that this retry may use, from 0 to 1.
 func (wi *Window) Take(now time.Time, share float64) bool {
 	wi.mu.Lock()
 	defer wi.mu.Unlock()
 	wi.advance(now)
-	sum := part{}
-	for _, pa := range wi.parts {
-		sum.received += pa.received
-		sum.taken += pa.taken
+	sum := bucket{}
+	for _, bu := range wi.buckets {
+		sum.received += bu.received
+		sum.taken += bu.taken
 	}
-	// The oldest part has slid half out of the window on average: its retries
-	// count in full, its requests do not count at all.
-	sum.received -= wi.parts[(wi.now+1)%len(wi.parts)].received
+	// On average half of the oldest bucket lies outside the window. To stay
+	// within the limit, its retries count in full and its requests not at all.
+	sum.received -= wi.buckets[(wi.current+1)%len(wi.buckets)].received
 	if float64(sum.taken+1) > share*(wi.ratio*float64(sum.received)+wi.slack) {
 		return false
 	}
-	wi.parts[wi.now].taken++
+	wi.buckets[wi.current].taken++
 	return true
 }
 
-// advance begins new parts up to a time.
+// advance starts new buckets, which drop the oldest, until the current one
+// contains now.
 func (wi *Window) advance(now time.Time) {
-	if now.Sub(wi.at) > wi.step*(steps+1) {
-		wi.parts, wi.at = [steps + 1]part{}, now
+	if now.Sub(wi.currentStart) > wi.bucketLength*(bucketCount+1) {
+		wi.buckets, wi.currentStart = [bucketCount + 1]bucket{}, now
 		return
 	}
-	for now.Sub(wi.at) >= wi.step {
-		wi.now = (wi.now + 1) % len(wi.parts)
-		wi.parts[wi.now] = part{}
-		wi.at = wi.at.Add(wi.step)
+	for now.Sub(wi.currentStart) >= wi.bucketLength {
+		wi.current = (wi.current + 1) % len(wi.buckets)
+		wi.buckets[wi.current] = bucket{}
+		wi.currentStart = wi.currentStart.Add(wi.bucketLength)
 	}
 }
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -14,8 +14,10 @@
 
 const length = 10 * time.Second
 
-// TestBurstOfFailuresFindsItsBudget replays a crash that breaks many streams
-// in one moment, after seconds with few retries.
+// TestBurstOfFailuresFindsItsBudget has many requests fail at the same moment
+// after 8 s without retries, as when a crash breaks many streams. A token bucket
+// of five retries refused most of them; the window must allow the retries that
+// the requests of those seconds earned, and no more.
 func TestBurstOfFailuresFindsItsBudget(t *testing.T) {
 	wi := retry.NewWindow(start, length, 0.6, 5)
 	now := start
@@ -29,8 +31,8 @@
 			allowed++
 		}
 	}
-	qt.Assert(t, allowed >= 40, qt.IsTrue, qt.Commentf("%d", allowed))
-	qt.Assert(t, allowed <= 53, qt.IsTrue, qt.Commentf("%d", allowed))
+	qt.Assert(t, allowed >= 40, qt.IsTrue, qt.Commentf("allowed %d retries", allowed))
+	qt.Assert(t, allowed <= 53, qt.IsTrue, qt.Commentf("allowed %d retries", allowed))
 }
 
 func TestShareLeavesTheRest(t *testing.T) {
@@ -45,9 +47,9 @@
 	qt.Assert(t, wi.Take(start, 1), qt.IsFalse)
 }
 
-// TestNoWindowHasMoreThanRequestsAllow takes all it can at random times. A
-// retry is allowed by the requests of the window before it, so that those of a
-// window are bounded by the requests of two.
+// TestNoWindowHasMoreThanRequestsAllow takes every retry it can at random times.
+// Each retry is allowed by the requests of the window that ends with it, so the
+// retries within one window are bounded by the requests of two windows.
 func TestNoWindowHasMoreThanRequestsAllow(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		wi := retry.NewWindow(start, length, 0.5, 3)
@@ -71,7 +73,7 @@
 				return n
 			}
 			if float64(within(taken, length)) > 0.5*float64(within(received, 2*length))+3 {
-				rt.Fatalf("%d retries for %d requests", within(taken, length), within(received, 2*length))
+				rt.Fatalf("%d retries in a window, for %d requests in two", within(taken, length), within(received, 2*length))
 			}
 		}
 	})
