--- a/lease/lease.go
+++ b/lease/lease.go
@@ -1,7 +1,8 @@
-// Package lease divides tasks among daemons by leases in the store. A task's
-// fencing token is the revision at which its key was created; changes compare
-// it, so that a holder that was paused past its lease changes nothing. The
-// protocol is that of spec/lease.pml.
+// Package lease assigns each task to one daemon at a time by leases in the
+// store. A task's fencing token is the revision at which its key was created.
+// Changes are conditional on the token, so that a holder that was paused until
+// after its lease expired changes nothing. The protocol is modelled in
+// spec/lease.pml.
 package lease
 
 import (
@@ -17,26 +18,31 @@
 	"tanagerpoint.example/tanager/store"
 )
 
-// Task names a piece of work that one daemon does at a time.
+// Task is the name of work that only one daemon may do at a time.
 type Task string
 
-// Hold is a task's lease, held until at least ExpiresAt by this clock.
+// Hold is the ownership of a task. State dumps encode it under its field names.
 type Hold struct {
-	Task      Task
-	Token     store.Revision
-	Since     time.Time
+	Task Task
+	// Token is the fencing token.
+	Token store.Revision
+	Since time.Time
+	// ExpiresAt is the time by this process's clock until which the lease lasts
+	// for certain.
 	ExpiresAt time.Time
 	key       store.Key
 }
 
-// Fence gives what changes of configuration must compare.
+// Fence returns the condition of configuration changes under this hold: the
+// task's key must still have the token.
 func (ho Hold) Fence() *configuration.Fence {
 	return &configuration.Fence{Key: ho.key, Token: ho.Token}
 }
 
-// Manager holds one lease of the store for all tasks of a daemon.
+// Manager acquires and releases the tasks of a daemon, all under one lease of
+// the store.
 //
-// mu guards all fields below it. No call is made while it is held.
+// mu guards all fields below it. The store is not called while it is held.
 type Manager struct {
 	prefix store.Key
 	store  store.Store
@@ -50,16 +56,18 @@
 	holds     map[Task]Hold
 }
 
-// NewManager gives a manager without a lease; owner is the daemon's incarnation.
+// NewManager returns a manager without a lease. owner is the daemon's
+// incarnation, which the tasks' keys name; ttl is the lease's time to live.
 func NewManager(prefix store.Key, st store.Store, owner string, ttl time.Duration, lo *event.Log) *Manager {
 	return &Manager{prefix: prefix + "lease/", store: st, owner: owner, ttl: ttl, log: lo, holds: map[Task]Hold{}}
 }
 
-// margin is taken off a lease, for the time that an answer took and for
-// clocks that run apart.
+// margin returns the time by which a lease is taken to end before its time to
+// live is over, for the time that the store's answer took and for clock drift.
 func (ma *Manager) margin() time.Duration { return ma.ttl / 5 }
 
-// Holds gives the hold of a task while its lease is sure to last.
+// Holds returns the hold of a task, and reports whether this daemon holds it and
+// its lease has not expired.
 func (ma *Manager) Holds(ta Task) (Hold, bool) {
 	ma.mu.Lock()
 	defer ma.mu.Unlock()
@@ -68,7 +76,7 @@
 	return ho, ok && time.Now().Before(ma.expiresAt)
 }
 
-// List gives the holds of all tasks.
+// List returns the holds of all tasks, also when the lease has expired.
 func (ma *Manager) List() []Hold {
 	ma.mu.Lock()
 	defer ma.mu.Unlock()
@@ -80,8 +88,8 @@
 	return out
 }
 
-// Renew keeps the lease alive. When it has lapsed, every hold is lost. It is
-// called at least every third of the lease's time to live.
+// Renew renews the lease, or drops all holds when the lease has expired. A daemon
+// that keeps holds calls it at least every third of the lease's time to live.
 func (ma *Manager) Renew(ctx context.Context) {
 	ma.mu.Lock()
 	id, last := ma.lease, ma.expiresAt
@@ -97,11 +105,13 @@
 		ma.expiresAt = asked.Add(ma.ttl - ma.margin())
 		ma.mu.Unlock()
 	case err == nil || time.Now().After(last):
-		ma.lose(err)
+		ma.dropHolds(err)
 	}
 }
 
-func (ma *Manager) lose(err error) {
+// dropHolds drops the lease and all holds after it expired; err is why it could
+// not be renewed, nil when the store ended it.
+func (ma *Manager) dropHolds(err error) {
 	ma.mu.Lock()
 	defer ma.mu.Unlock()
 	for ta := range ma.holds {
@@ -110,7 +120,8 @@
 	ma.lease, ma.expiresAt, ma.holds = 0, time.Time{}, map[Task]Hold{}
 }
 
-// Acquire tries to take a task that nobody holds; false when somebody does.
+// Acquire tries to acquire a task, and reports whether this daemon holds it
+// now. It reports false without an error when another daemon holds it.
 func (ma *Manager) Acquire(ctx context.Context, ta Task) (bool, error) {
 	if _, ok := ma.Holds(ta); ok {
 		return true, nil
@@ -120,7 +131,8 @@
 		return false, eris.Wrap(err, "Manager.Acquire")
 	}
 	key := ma.prefix + store.Key(ta)
-	// The value names the lease as well: a key of an earlier one is not ours.
+	// The value names the lease as well, so that a key under an earlier lease of
+	// this daemon does not count as held.
 	value := fmt.Sprintf("%s/%d", ma.owner, id)
 	co := store.Commit{
 		Compares: []store.Compare{{Key: key}},
@@ -149,6 +161,8 @@
 	return true, nil
 }
 
+// currentLease returns the lease, which it requests from the store when there
+// is none.
 func (ma *Manager) currentLease(ctx context.Context) (store.LeaseID, error) {
 	ma.mu.Lock()
 	id := ma.lease
@@ -167,7 +181,7 @@
 	return id, nil
 }
 
-// Release gives up a task.
+// Release releases a task. It does nothing when the task is not held.
 func (ma *Manager) Release(ctx context.Context, ta Task) error {
 	ma.mu.Lock()
 	ho, ok := ma.holds[ta]
@@ -183,7 +197,9 @@
 	return eris.Wrap(err, "Manager.Release")
 }
 
-// Close ends the lease, so that others can take the tasks at once.
+// Close drops all holds and revokes the lease, so that other daemons can acquire
+// the tasks at once. When the store cannot be reached, the lease lasts until its
+// time to live is over. The manager can be used again afterwards.
 func (ma *Manager) Close(ctx context.Context) {
 	ma.mu.Lock()
 	id := ma.lease
