--- a/claim/batch.go
+++ b/claim/batch.go
@@ -10,52 +10,56 @@
 	"tanagerpoint.example/tanager/store"
 )
 
-// submit hands a write to the next call of the store and waits for its result.
+// submit queues a write for the next call of the store and blocks until its
+// result. The error is store.ErrUnavailable when ctx ended or the claimer was
+// closed before the write was queued, and store.ErrUnknown when ctx ended
+// afterwards.
 func (cl *Claimer) submit(ctx context.Context, co store.Commit) result {
-	cm := &commit{commit: co, done: make(chan result, 1)}
+	pc := &pendingCommit{commit: co, done: make(chan result, 1)}
 	select {
-	case cl.queue <- cm:
+	case cl.queue <- pc:
 	case <-ctx.Done():
 		return result{err: errors.Join(store.ErrUnavailable, ctx.Err())}
 	case <-cl.group.Context().Done():
 		return result{err: eris.Wrap(store.ErrUnavailable, "Claimer is closed")}
 	}
 	select {
-	case re := <-cm.done:
+	case re := <-pc.done:
 		return re
 	case <-ctx.Done():
 		return result{err: errors.Join(store.ErrUnknown, ctx.Err())}
 	}
 }
 
-// batch makes one call of the store at a time, with all writes that came
-// while the last was under way. Writes of one key go into separate calls.
-func (cl *Claimer) batch(ctx context.Context) {
-	var waiting []*commit
+// runBatches makes one call of the store at a time, with the writes that were
+// queued during the call before. Writes of the same key go into separate calls.
+func (cl *Claimer) runBatches(ctx context.Context) {
+	var waiting []*pendingCommit
 	for {
 		if len(waiting) == 0 {
 			select {
-			case cm := <-cl.queue:
-				waiting = append(waiting, cm)
+			case pc := <-cl.queue:
+				waiting = append(waiting, pc)
 			case <-ctx.Done():
 				return
 			}
 		}
-		waiting = cl.drain(waiting)
-		var now []*commit
-		now, waiting = split(waiting)
-		cl.call(ctx, now)
+		waiting = cl.collect(waiting)
+		var batch []*pendingCommit
+		batch, waiting = firstByKey(waiting)
+		cl.applyBatch(ctx, batch)
 		if ctx.Err() != nil {
 			return
 		}
 	}
 }
 
-func (cl *Claimer) drain(waiting []*commit) []*commit {
+// collect appends the queued writes, up to maxBatch, without waiting.
+func (cl *Claimer) collect(waiting []*pendingCommit) []*pendingCommit {
 	for len(waiting) < maxBatch {
 		select {
-		case cm := <-cl.queue:
-			waiting = append(waiting, cm)
+		case pc := <-cl.queue:
+			waiting = append(waiting, pc)
 		default:
 			return waiting
 		}
@@ -63,32 +67,35 @@
 	return waiting
 }
 
-// split takes the first write of each key; the others wait.
-func split(all []*commit) (now, later []*commit) {
+// firstByKey returns the first write of each key, and the rest, which wait for
+// the next call.
+func firstByKey(all []*pendingCommit) (batch, rest []*pendingCommit) {
 	var keys []store.Key
-	for _, cm := range all {
-		key := cm.commit.Puts[0].Key
+	for _, pc := range all {
+		key := pc.commit.Puts[0].Key
 		if slices.Contains(keys, key) {
-			later = append(later, cm)
+			rest = append(rest, pc)
 			continue
 		}
 		keys = append(keys, key)
-		now = append(now, cm)
+		batch = append(batch, pc)
 	}
-	return now, later
+	return batch, rest
 }
 
-func (cl *Claimer) call(ctx context.Context, cms []*commit) {
-	cos := make([]store.Commit, len(cms))
-	for i, cm := range cms {
-		cos[i] = cm.commit
+// applyBatch makes one call of the store with the writes, and sends each its
+// result.
+func (cl *Claimer) applyBatch(ctx context.Context, pcs []*pendingCommit) {
+	cos := make([]store.Commit, len(pcs))
+	for i, pc := range pcs {
+		cos[i] = pc.commit
 	}
 	ous, err := cl.store.ApplyEach(ctx, cos)
-	for i, cm := range cms {
+	for i, pc := range pcs {
 		if err != nil {
-			cm.done <- result{err: err}
+			pc.done <- result{err: err}
 			continue
 		}
-		cm.done <- result{outcome: ous[i]}
+		pc.done <- result{outcome: ous[i]}
 	}
 }
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -1,10 +1,10 @@
-// Package claim lets a call that may not be repeated run at most once.
+// Package claim gives at-most-once execution to calls that may not be repeated.
 //
-// Before its first byte leaves, a call is claimed in the store by a create-only
-// write that carries an operation id. Whoever finds another's claim does not
-// run the call: it gives the kept answer, or says that the call is under way,
-// or that its outcome is unknown. The states and transitions are those of
-// spec/claim.pml.
+// Before its first byte is sent, a call is claimed in the store by a create-only
+// write that carries an operation id. An entry that finds another claim for the
+// call does not run it. It returns the kept answer, or an error saying that the
+// call is under way or that its outcome is unknown. The states and transitions
+// are modelled in spec/claim.pml.
 package claim
 
 import (
@@ -28,8 +28,8 @@
 // State is the state of a claim.
 type State string
 
-// The states. A claimed call may have run; a finished one did; a released one
-// did not and never will under that claim.
+// States of a claim. A claimed call may have been run. A finished call was run.
+// A released call was not run and never will be under that claim.
 const (
 	Claimed  State = "claimed"
 	Finished State = "finished"
@@ -37,25 +37,26 @@
 )
 
 const (
-	// retention is how long claims and kept answers stay in the store.
+	// retention is how long claims and kept answers stay in the store: the time to
+	// live of their leases.
 	retention = 24 * time.Hour
-	// leaseRenewal is how long one lease is given to new claims.
-	leaseRenewal = time.Hour
-	// maxBatch is how many claims go into one call of the store.
+	// leaseRenewalInterval is how long new claims share one lease.
+	leaseRenewalInterval = time.Hour
+	// maxBatch bounds the writes in one call of the store.
 	maxBatch = 60
-	// maxAnswerBytes bounds an answer that is kept.
+	// maxAnswerBytes is the size of the largest body that is kept.
 	maxAnswerBytes = 64 << 10
-	// resolveWait is the time between tries to learn a lost answer.
+	// resolveWait is the delay before a write whose outcome is unknown is retried.
 	resolveWait = 50 * time.Millisecond
-	// releaseWait is the time between tries to release a claim.
+	// releaseWait is the delay before a failed release is retried.
 	releaseWait = time.Second
 )
 
-// Errors of Claim. None of them means that the call may have been run by it.
+// Errors of Claim. After each of them the caller has not run the call.
 var (
-	// ErrUnavailable: the store cannot take claims now.
+	// ErrUnavailable means that the store cannot write claims now.
 	ErrUnavailable = eris.New("claim: store unavailable")
-	// ErrMismatch: the key was used for another call.
+	// ErrMismatch means that the idempotency key was used for a different call.
 	ErrMismatch = eris.New("claim: key was used for a different call")
 )
 
@@ -66,10 +67,10 @@
 	Idempotency  string
 }
 
-// Fingerprint is a hash of a call's method, path and body.
+// Fingerprint is the hash of a call's method, path and body, in hexadecimal.
 type Fingerprint string
 
-// NewFingerprint hashes a call.
+// NewFingerprint returns the fingerprint of a call.
 func NewFingerprint(method, path string, body []byte) Fingerprint {
 	ha := sha256.New()
 	_, _ = ha.Write([]byte(method + "\x00" + path + "\x00"))
@@ -77,7 +78,7 @@
 	return Fingerprint(hex.EncodeToString(ha.Sum(nil)))
 }
 
-// Answer is a finished call's answer, as it is kept.
+// Answer is the answer of a finished call, as the store keeps it for repeats.
 type Answer struct {
 	Status      int    `json:"status"`
 	ContentType string `json:"content_type"`
@@ -87,7 +88,8 @@
 	BillID string `json:"bill_id"`
 }
 
-// Record is a claim as it is stored.
+// Record is the stored value of a claim. DeadlineMS is the call's deadline in
+// milliseconds of Unix time.
 type Record struct {
 	State       State       `json:"state"`
 	OperationID string      `json:"operation_id"`
@@ -97,7 +99,7 @@
 	Answer      *Answer     `json:"answer,omitempty"`
 }
 
-// Underway tells whether the call may still be running at a time.
+// Underway reports whether the call may still be running at the time now.
 func (re Record) Underway(now time.Time) bool {
 	return re.State == Claimed && now.UnixMilli() < re.DeadlineMS
 }
@@ -109,24 +111,26 @@
 	record   Record
 }
 
-// Claimer makes claims.
+// Claimer claims calls for one process.
 //
-// mu guards the lease. No other lock is taken while it is held.
+// mu guards the lease and its renewal time. No other lock is taken while it is
+// held.
 type Claimer struct {
 	prefix      store.Key
 	store       store.Store
 	incarnation string
 	log         *event.Log
 	group       *worker.Group
-	queue       chan *commit
+	queue       chan *pendingCommit
 
-	mu        sync.Mutex
-	lease     store.LeaseID
-	renewLate time.Time
+	mu      sync.Mutex
+	lease   store.LeaseID
+	renewAt time.Time
 }
 
-// commit is one claim's write, waiting for a call of the store.
-type commit struct {
+// pendingCommit is the write of one claim that waits for the next call of the
+// store.
+type pendingCommit struct {
 	commit store.Commit
 	done   chan result
 }
@@ -136,17 +140,17 @@
 	err     error
 }
 
-// NewClaimer gives a claimer; Close ends it.
+// NewClaimer returns a claimer and starts its goroutine, which Close stops.
 func NewClaimer(prefix store.Key, st store.Store, incarnation string, lo *event.Log) *Claimer {
 	cl := &Claimer{
 		prefix: prefix + "claim/", store: st, incarnation: incarnation, log: lo,
-		group: worker.NewGroup(), queue: make(chan *commit),
+		group: worker.NewGroup(), queue: make(chan *pendingCommit),
 	}
-	cl.group.Go(cl.batch)
+	cl.group.Go(cl.runBatches)
 	return cl
 }
 
-// Close ends the claimer's goroutines and waits for them.
+// Close stops the claimer's goroutines and blocks until they have ended.
 func (cl *Claimer) Close() { cl.group.Close() }
 
 func (cl *Claimer) storeKey(ke Key) store.Key {
@@ -154,8 +158,9 @@
 	return cl.prefix + store.Key(string(ke.Organisation)+"/"+hex.EncodeToString(sum[:]))
 }
 
-// Claim claims a call. Either it gives a hold, or the record of whoever has
-// the claim, or an error; in the last two cases the call must not be run.
+// Claim claims a call. It returns a hold, the record of an existing claim, or an
+// error; with ErrMismatch it returns the existing record too. Without a hold the
+// call must not be run.
 func (cl *Claimer) Claim(ctx context.Context, ke Key, fp Fingerprint, deadline time.Time) (*Hold, Record, error) {
 	lease, err := cl.currentLease(ctx)
 	if err != nil {
@@ -167,7 +172,7 @@
 	}}
 	compare := store.Revision(0)
 	for {
-		ou, err := cl.resolve(ctx, ho, compare, lease)
+		ou, err := cl.writeClaim(ctx, ho, compare, lease)
 		if err != nil {
 			return nil, Record{}, errors.Join(ErrUnavailable, err)
 		}
@@ -175,12 +180,12 @@
 			ho.revision = ou.Revision
 			return ho, Record{}, nil
 		}
-		found, revision, err := find(ou.Found)
+		found, revision, err := decodeFound(ou.Found)
 		switch {
 		case err != nil:
 			return nil, Record{}, errors.Join(ErrUnavailable, err)
 		case revision == 0:
-			// A released claim's lease ended between two tries.
+			// The released claim that was compared has expired in the meantime.
 			compare = 0
 		case found.OperationID == ho.record.OperationID && found.State == Claimed:
 			ho.revision = revision
@@ -195,11 +200,12 @@
 	}
 }
 
-// resolve writes a claim, and while its answer is lost writes it again. The
-// write is create-only, so it takes effect once. When the answer stays lost
-// the claim is released in the background, since nothing was sent under it.
-func (cl *Claimer) resolve(ctx context.Context, ho *Hold, compare store.Revision, lease store.LeaseID) (store.Outcome, error) {
-	co := ho.write(ho.record, compare, lease)
+// writeClaim writes a claim, and writes it again while the outcome is unknown.
+// The write is conditional on the key's revision, so it takes effect only once.
+// When the outcome is still unknown when ctx ends, the claim is released in the
+// background, since nothing was sent under it.
+func (cl *Claimer) writeClaim(ctx context.Context, ho *Hold, compare store.Revision, lease store.LeaseID) (store.Outcome, error) {
+	co := ho.commit(ho.record, compare, lease)
 	unknown := false
 	for {
 		re := cl.submit(ctx, co)
@@ -212,13 +218,15 @@
 		unknown = true
 		if !worker.Sleep(ctx, resolveWait) {
 			cl.log.Warn(event.ClaimUnresolved, re.err, event.Fields{"key": ho.key})
-			cl.group.Go(func(ctx context.Context) { cl.release(ctx, ho, compare, lease) })
+			cl.group.Go(func(ctx context.Context) { cl.releaseUnresolved(ctx, ho, compare, lease) })
 			return store.Outcome{}, re.err
 		}
 	}
 }
 
-func (ho *Hold) write(re Record, compare store.Revision, lease store.LeaseID) store.Commit {
+// commit returns the write of a record under the hold's key, on condition that
+// the key has the revision compare, which is 0 when it must not exist.
+func (ho *Hold) commit(re Record, compare store.Revision, lease store.LeaseID) store.Commit {
 	value, err := json.Marshal(re)
 	if err != nil {
 		value = nil
@@ -229,19 +237,22 @@
 	}
 }
 
-func find(kvs []store.KeyValue) (Record, store.Revision, error) {
+// decodeFound returns the record that a failed condition found and its revision,
+// which is 0 when the key does not exist.
+func decodeFound(kvs []store.KeyValue) (Record, store.Revision, error) {
 	if len(kvs) == 0 {
 		return Record{}, 0, nil
 	}
 	var re Record
 	if err := json.Unmarshal(kvs[0].Value, &re); err != nil {
-		return Record{}, 0, eris.Wrap(err, "claim: record in the store")
+		return Record{}, 0, eris.Wrap(err, "claim: decode the record in the store")
 	}
 	return re, kvs[0].ModRevision, nil
 }
 
-// Finish keeps a call's answer. It must be called once the endpoint answered;
-// an error leaves the call's outcome unknown to repeats.
+// Finish stores a call's answer for repeats of the call. The caller must call it
+// when the endpoint has answered. After an error, repeats find the call's outcome
+// unknown.
 func (cl *Claimer) Finish(ctx context.Context, ho *Hold, an Answer) error {
 	re := ho.record
 	re.State, re.Answer = Finished, &an
@@ -249,17 +260,18 @@
 	if !an.Kept {
 		an.Body = nil
 	}
-	return eris.Wrap(cl.settle(ctx, ho, re), "Claimer.Finish")
+	return eris.Wrap(cl.finalise(ctx, ho, re), "Claimer.Finish")
 }
 
-// Release gives back a claim under which nothing was sent, so that a repeat
-// may run. It returns at once and goes on in the background.
+// Release releases a claim under which nothing was sent, so that a repeat of the
+// call may run. It returns at once and retries in the background until it
+// succeeds or the claimer is closed.
 func (cl *Claimer) Release(ho *Hold) {
 	cl.group.Go(func(ctx context.Context) {
 		re := ho.record
 		re.State = Released
 		for ctx.Err() == nil {
-			if cl.settle(ctx, ho, re) == nil {
+			if cl.finalise(ctx, ho, re) == nil {
 				cl.log.Info(event.ClaimReleased, event.Fields{"key": ho.key})
 				return
 			}
@@ -268,17 +280,18 @@
 	})
 }
 
-// settle moves an owned claim to its last state, resolving lost answers.
-func (cl *Claimer) settle(ctx context.Context, ho *Hold, re Record) error {
+// finalise writes the final state of an owned claim, and writes it again after
+// an error until ctx ends.
+func (cl *Claimer) finalise(ctx context.Context, ho *Hold, re Record) error {
 	lease, err := cl.currentLease(ctx)
 	if err != nil {
 		return err
 	}
-	co := ho.write(re, ho.revision, lease)
+	co := ho.commit(re, ho.revision, lease)
 	for {
 		rs := cl.submit(ctx, co)
 		if rs.err == nil {
-			return settled(rs.outcome, re)
+			return checkFinalised(rs.outcome, re)
 		}
 		if !worker.Sleep(ctx, resolveWait) {
 			return rs.err
@@ -286,29 +299,32 @@
 	}
 }
 
-func settled(ou store.Outcome, re Record) error {
+// checkFinalised returns an error unless the claim has the state of the record,
+// by this write or by an earlier one whose outcome was unknown.
+func checkFinalised(ou store.Outcome, re Record) error {
 	if ou.Applied {
 		return nil
 	}
-	found, _, err := find(ou.Found)
+	found, _, err := decodeFound(ou.Found)
 	if err != nil {
 		return err
 	}
 	if found.OperationID == re.OperationID && found.State == re.State {
 		return nil
 	}
-	return eris.Errorf("claim is %q under operation %q", found.State, found.OperationID)
+	return eris.Errorf("claim was not written: found state %q under operation %q", found.State, found.OperationID)
 }
 
-// release ends a claim whose own write may or may not have taken effect, or
-// may yet. A released record in its place keeps a late write from succeeding.
-func (cl *Claimer) release(ctx context.Context, ho *Hold, compare store.Revision, lease store.LeaseID) {
+// releaseUnresolved releases a claim whose write may have taken effect, or may
+// still do so. The released record changes the key's revision, so that a delayed
+// write of the claim fails.
+func (cl *Claimer) releaseUnresolved(ctx context.Context, ho *Hold, compare store.Revision, lease store.LeaseID) {
 	re := ho.record
 	re.State = Released
 	for ctx.Err() == nil {
-		rs := cl.submit(ctx, ho.write(re, compare, lease))
+		rs := cl.submit(ctx, ho.commit(re, compare, lease))
 		if rs.err == nil {
-			found, revision, err := find(rs.outcome.Found)
+			found, revision, err := decodeFound(rs.outcome.Found)
 			mine := err == nil && found.OperationID == re.OperationID
 			if rs.outcome.Applied || !mine || found.State != Claimed {
 				cl.log.Info(event.ClaimReleased, event.Fields{"key": ho.key})
@@ -321,16 +337,18 @@
 	}
 }
 
+// currentLease returns the lease for new writes, and requests a new one from the
+// store every leaseRenewalInterval.
 func (cl *Claimer) currentLease(ctx context.Context) (store.LeaseID, error) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
-	if cl.lease != 0 && time.Now().Before(cl.renewLate) {
+	if cl.lease != 0 && time.Now().Before(cl.renewAt) {
 		return cl.lease, nil
 	}
 	id, err := cl.store.Grant(ctx, retention)
 	if err != nil {
 		return 0, err
 	}
-	cl.lease, cl.renewLate = id, time.Now().Add(leaseRenewal)
+	cl.lease, cl.renewAt = id, time.Now().Add(leaseRenewalInterval)
 	return id, nil
 }
