--- a/admission/controller.go
+++ b/admission/controller.go
@@ -49,6 +49,7 @@
 	return ctx.Err()
 }
 
+// asError converts a refusal to an error, which is nil for a nil refusal.
 func asError(re *Refusal) error {
 	if re == nil {
 		return nil
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -24,7 +24,9 @@
 	serviceTimeSmoothing = 0.05
 	// levelSmoothing is the time constant of the moving average of each level's
 	// used slots.
-	levelSmoothing      = 2 * time.Second
+	levelSmoothing = 2 * time.Second
+	// minRetryWait and maxRetryWait bound how long after its refusal a request
+	// may be retried, and noCapacityRetryWait is that time in a pool without slots.
 	minRetryWait        = time.Second
 	maxRetryWait        = 30 * time.Second
 	noCapacityRetryWait = 2 * time.Second
@@ -63,7 +65,8 @@
 	running    int
 	waiting    int
 	queuedCost Cost
-	// credit is the slot-seconds of its floor that the rank has not used yet.
+	// credit is the rank's floor over time less the slots that it used, in
+	// slot-seconds. Above 0 the rank gets the next free slot.
 	credit float64
 	levels [levelsPerRank]level
 	orgs   map[policy.OrganisationID]*orgQueue
--- a/placement/balancer.go
+++ b/placement/balancer.go
@@ -24,7 +24,7 @@
 	// the moving averages of an endpoint's failure rate and slowdown.
 	failureSmoothing  = 0.2
 	slowdownSmoothing = 0.25
-	// maxSlowdown and fastest bound an endpoint's measured factor.
+	// maxSlowdown and minSlowdown bound a measurement of an endpoint's slowdown.
 	maxSlowdown = 32.0
 	minSlowdown = 0.5
 	// overdueFactor times its estimate is the time after which an answer that has
