--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -176,7 +176,7 @@
 func (at *attempts) recordSuccess(ctx context.Context, en policy.Endpoint, st *endpoint.Stream, sentAt time.Time) {
 	da := at.daemon
 	if lo := st.Load(); lo.Known {
-		da.tracker.Report(time.Now(), en, lo.Utilisation)
+		da.tracker.RecordUtilisation(time.Now(), en, lo.Utilisation)
 	}
 	at.steps.add("%s answers", en.ID)
 	da.metrics.Attempts.Add(ctx, 1, metric.With(metric.KeyOutcome, "answered", metric.KeyCause, ""))
--- a/entry/inflight.go
+++ b/entry/inflight.go
@@ -31,7 +31,7 @@
 	limit := (or.MaxInFlight + int64(entries) - 1) / int64(entries)
 	if or.MaxInFlight > 0 && in.counts[or.ID] >= limit {
 		return &problem{
-			status: http.StatusTooManyRequests, code: string(admission.ReasonInFlight),
+			status: http.StatusTooManyRequests, code: string(admission.ReasonOrganisationLimit),
 			message: "the organisation has as many requests in service as it may", retryAt: time.Now().Add(overloadedRetryDelay),
 		}
 	}
--- a/entry/pool.go
+++ b/entry/pool.go
@@ -38,7 +38,7 @@
 // pool is the queue of one pool and the estimates of its answers' length and
 // speed.
 type pool struct {
-	gate *admission.Gate
+	gate *admission.Controller
 	// mu guards estimates.
 	mu        sync.Mutex
 	estimates map[policy.RankID]answerEstimate
@@ -93,7 +93,7 @@
 	pl, ok := po.queues[id]
 	if !ok {
 		pl = &pool{
-			gate:      admission.NewGate(int(po.daemon.settings.GetServing().GetMaxQueue())),
+			gate:      admission.NewController(int(po.daemon.settings.GetServing().GetMaxQueue())),
 			estimates: map[policy.RankID]answerEstimate{},
 		}
 		po.queues[id] = pl
@@ -158,7 +158,7 @@
 		po.endpointsByPool[id] = placement.NewPool(ens)
 	}
 	po.endpointsRevision = se.Revision
-	po.daemon.tracker.Keep(func(id policy.EndpointID) bool {
+	po.daemon.tracker.Prune(func(id policy.EndpointID) bool {
 		_, ok := se.Endpoints.ByID(id)
 		return ok
 	})
@@ -179,12 +179,12 @@
 	po.mu.Unlock()
 	re := po.readRemoteUsage()
 	if re.changed {
-		po.daemon.tracker.SetOthers(time.Now(), re.inFlight)
+		po.daemon.tracker.SetPeerInFlight(time.Now(), re.inFlight)
 	}
 	for id, pl := range queues {
 		slots := po.usableSlots(members[id])
-		capacity := slots * admission.ShareOf(re.entries, pl.demand(), re.demand[id])
-		pl.gate.Change(func(qu *admission.Queue, now time.Time) {
+		capacity := slots * admission.CapacityShare(re.entries, pl.demand(), re.demand[id])
+		pl.gate.Update(func(qu *admission.Queue, now time.Time) {
 			qu.SetRanks(ranks)
 			qu.SetCapacity(now, admission.Slots(capacity))
 			if re.changed {
@@ -298,7 +298,7 @@
 // demand returns the number of requests that run or wait in the queue.
 func (pl *pool) demand() float64 {
 	demand := 0.0
-	pl.gate.Change(func(qu *admission.Queue, _ time.Time) {
+	pl.gate.Update(func(qu *admission.Queue, _ time.Time) {
 		running, waiting := qu.Load()
 		demand = float64(running + waiting)
 	})
@@ -324,7 +324,7 @@
 // usage returns the report on the queue for the other entries.
 func (pl *pool) usage(id poolID) *rpc.PoolUsage {
 	pu := &rpc.PoolUsage{Pool: string(id), Demand: pl.demand()}
-	pl.gate.Change(func(qu *admission.Queue, now time.Time) {
+	pl.gate.Update(func(qu *admission.Queue, now time.Time) {
 		re := qu.Report(now)
 		for _, ou := range re.Organisations {
 			pu.Organisations = append(pu.Organisations, &rpc.OrganisationUsage{
--- a/entry/service.go
+++ b/entry/service.go
@@ -108,11 +108,11 @@
 	if pr != nil {
 		return pr
 	}
-	if err := pl.gate.Enter(ctx, ti); err != nil {
+	if err := pl.gate.Acquire(ctx, ti); err != nil {
 		pr := admissionProblem(err)
 		return &pr
 	}
-	defer pl.gate.Leave(ti, 1)
+	defer pl.gate.Release(ti, 1)
 	if ca.repeatable() || ca.idempotencyKey == "" {
 		return da.runCall(ctx, co, ca, nil)
 	}
@@ -219,7 +219,7 @@
 		da.log.Debug(event.AttemptFailed, err, event.Fields{"request": ca.id, "endpoint": en.ID})
 	}
 	if an.Load.Known {
-		da.tracker.Report(time.Now(), en, an.Load.Utilisation)
+		da.tracker.RecordUtilisation(time.Now(), en, an.Load.Utilisation)
 	}
 	da.releaseEndpoint(en.ID, result)
 	return en, an, nil, err
