--- a/cascade/cascade.go
+++ b/cascade/cascade.go
@@ -15,8 +15,8 @@
 	"tanagerpoint.example/tanager/policy"
 )
 
-// Work is a kind of work, as callers name it.
-type Work string
+// WorkKind is a kind of work, as callers name it.
+type WorkKind string
 
 const (
 	// priorWeight is how many ratings the record's own quality counts for.
@@ -51,7 +51,7 @@
 }
 
 type key struct {
-	work    Work
+	work    WorkKind
 	version policy.VersionID
 }
 
@@ -60,7 +60,7 @@
 	rng       *rand.Rand
 	price     float64
 	estimates map[key]estimate
-	kinds     map[Work]bool
+	kinds     map[WorkKind]bool
 }
 
 // NewChooser gives a chooser that knows no ratings; seed drives its chances.
@@ -69,7 +69,7 @@
 		rng:       rand.New(rand.NewPCG(seed, 0)),
 		price:     1,
 		estimates: map[key]estimate{},
-		kinds:     map[Work]bool{},
+		kinds:     map[WorkKind]bool{},
 	}
 }
 
@@ -77,8 +77,8 @@
 // unit of quality is worth.
 func (ch *Chooser) Price() float64 { return ch.price }
 
-// Rate learns one rating, from 0 to 1.
-func (ch *Chooser) Rate(work Work, version policy.VersionID, quality float64) {
+// AddRating learns one rating, from 0 to 1.
+func (ch *Chooser) AddRating(work WorkKind, version policy.VersionID, quality float64) {
 	if !ch.kinds[work] && len(ch.kinds) >= maxKinds {
 		return
 	}
@@ -90,19 +90,19 @@
 }
 
 // SetEstimate replaces what is known of a version for a kind of work.
-func (ch *Chooser) SetEstimate(work Work, version policy.VersionID, weight, mean float64) {
+func (ch *Chooser) SetEstimate(work WorkKind, version policy.VersionID, weight, mean float64) {
 	ch.kinds[work] = true
 	ch.estimates[key{work, version}] = estimate{weight: weight, mean: mean}
 }
 
 // Estimate gives what is known of a version for a kind of work.
-func (ch *Chooser) Estimate(work Work, version policy.VersionID) (weight, mean float64) {
+func (ch *Chooser) Estimate(work WorkKind, version policy.VersionID) (weight, mean float64) {
 	es := ch.estimates[key{work, version}]
 	return es.weight, es.mean
 }
 
 // Quality gives the expected quality of an arm.
-func (ch *Chooser) Quality(work Work, ar Arm) float64 {
+func (ch *Chooser) Quality(work WorkKind, ar Arm) float64 {
 	es := ch.estimates[key{work, ar.Version}]
 	return (es.mean*es.weight + ar.Quality*priorWeight) / (es.weight + priorWeight)
 }
@@ -116,7 +116,7 @@
 }
 
 // Choose picks among arms for one request, and moves the price of quality.
-func (ch *Chooser) Choose(work Work, arms []Arm, target float64) Choice {
+func (ch *Chooser) Choose(work WorkKind, arms []Arm, target float64) Choice {
 	best := ch.best(work, arms)
 	quality := ch.Quality(work, arms[best])
 	ch.price = min(maxPrice, max(0, ch.price+priceStep*(target+safety-quality)))
@@ -127,7 +127,7 @@
 }
 
 // best weighs quality at its price against cost, relative to the dearest arm.
-func (ch *Chooser) best(work Work, arms []Arm) int {
+func (ch *Chooser) best(work WorkKind, arms []Arm) int {
 	dearest := 1.0
 	for _, ar := range arms {
 		dearest = max(dearest, float64(ar.Cost))
--- a/cascade/step.go
+++ b/cascade/step.go
@@ -15,12 +15,12 @@
 	waitWeight = 20
 )
 
-// Step decides what becomes of an answer that a small model has begun, before
+// Escalation decides what becomes of an answer that a small model has begun, before
 // the caller has any of it. It answers the load in which most requests are easy
 // and the large model takes many times the time: a start at the small model
 // costs little, and says which requests are worth more. Under pressure long
 // prompts stay at the small model first, since they hold up everyone.
-type Step struct {
+type Escalation struct {
 	// Confidence is the small model's opinion of its answer, from 0 to 100.
 	Confidence float64
 	// Work is what the large model takes until its answer begins, in seconds of
@@ -32,8 +32,8 @@
 	TimeLeft float64
 }
 
-// Escalate tells whether to start again at the largest model.
-func (st Step) Escalate() bool {
+// ShouldEscalate tells whether to start again at the largest model.
+func (st Escalation) ShouldEscalate() bool {
 	wait := st.Pressure + st.Work
 	if wait >= st.TimeLeft {
 		return false
--- a/cascade/step_test.go
+++ b/cascade/step_test.go
@@ -12,21 +12,21 @@
 // doubtful answer of a long prompt is given up while there is room, and kept
 // under pressure; that of a short prompt is given up for longer.
 func TestPressureKeepsLongPromptsSmall(t *testing.T) {
-	long := cascade.Step{Confidence: 40, Work: 0.6, TimeLeft: 6}
-	short := cascade.Step{Confidence: 40, Work: 0.05, TimeLeft: 1}
-	qt.Assert(t, long.Escalate(), qt.IsTrue)
-	qt.Assert(t, short.Escalate(), qt.IsTrue)
+	long := cascade.Escalation{Confidence: 40, Work: 0.6, TimeLeft: 6}
+	short := cascade.Escalation{Confidence: 40, Work: 0.05, TimeLeft: 1}
+	qt.Assert(t, long.ShouldEscalate(), qt.IsTrue)
+	qt.Assert(t, short.ShouldEscalate(), qt.IsTrue)
 	long.Pressure, short.Pressure = 0.4, 0.4
-	qt.Assert(t, long.Escalate(), qt.IsFalse)
-	qt.Assert(t, short.Escalate(), qt.IsTrue)
+	qt.Assert(t, long.ShouldEscalate(), qt.IsFalse)
+	qt.Assert(t, short.ShouldEscalate(), qt.IsTrue)
 }
 
 func TestNothingIsGivenUpThatWouldComeLate(t *testing.T) {
-	st := cascade.Step{Confidence: 1, Work: 0.5, Pressure: 0.6, TimeLeft: 1}
-	qt.Assert(t, st.Escalate(), qt.IsFalse)
+	st := cascade.Escalation{Confidence: 1, Work: 0.5, Pressure: 0.6, TimeLeft: 1}
+	qt.Assert(t, st.ShouldEscalate(), qt.IsFalse)
 }
 
 func TestConfidentAnswersAreKept(t *testing.T) {
-	qt.Assert(t, cascade.Step{Confidence: 90, TimeLeft: 5}.Escalate(), qt.IsFalse)
-	qt.Assert(t, cascade.Step{Confidence: 10, Work: 0.1, TimeLeft: 5}.Escalate(), qt.IsTrue)
+	qt.Assert(t, cascade.Escalation{Confidence: 90, TimeLeft: 5}.ShouldEscalate(), qt.IsFalse)
+	qt.Assert(t, cascade.Escalation{Confidence: 10, Work: 0.1, TimeLeft: 5}.ShouldEscalate(), qt.IsTrue)
 }
--- a/entry/cascades.go
+++ b/entry/cascades.go
@@ -30,7 +30,7 @@
 	return &cascades{peers: pe, choosers: map[policy.CascadeID]*cascade.Chooser{}, seen: map[string]peer.Version{}}
 }
 
-func (ca *cascades) choose(rec policy.Cascade, work cascade.Work, arms []cascade.Arm) cascade.Choice {
+func (ca *cascades) choose(rec policy.Cascade, work cascade.WorkKind, arms []cascade.Arm) cascade.Choice {
 	ca.mu.Lock()
 	defer ca.mu.Unlock()
 	return ca.get(rec.ID).Choose(work, arms, rec.QualityTarget)
@@ -61,7 +61,7 @@
 		}
 		ch := ca.get(policy.CascadeID(it.Key[len(RatingsPrefix):]))
 		for _, su := range ras.GetSums() {
-			ch.SetEstimate(cascade.Work(su.GetWork()), policy.VersionID(su.GetVersion()), su.GetWeight(), su.GetMean())
+			ch.SetEstimate(cascade.WorkKind(su.GetWork()), policy.VersionID(su.GetVersion()), su.GetWeight(), su.GetMean())
 		}
 	}
 	for id := range ca.choosers {
--- a/entry/chat.go
+++ b/entry/chat.go
@@ -21,7 +21,7 @@
 type chat struct {
 	*request
 	name         string
-	work         cascade.Work
+	work         cascade.WorkKind
 	stream       bool
 	includeUsage bool
 	maxTokens    int64
@@ -56,7 +56,7 @@
 	body := gjson.ParseBytes(rq.body)
 	ch := &chat{
 		request: rq, name: body.Get("model").Str,
-		work:         cascade.Work(co.GetHeader(HeaderWork)),
+		work:         cascade.WorkKind(co.GetHeader(HeaderWork)),
 		stream:       body.Get("stream").Bool(),
 		includeUsage: body.Get("stream_options.include_usage").Bool(),
 		sessionToken: co.GetHeader(HeaderSession),
--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -36,7 +36,7 @@
 	rollout policy.Rollout
 	// since is the record's state that the counts belong to.
 	since  rolloutPhase
-	guard  rollout.Guard
+	guard  rollout.HealthTest
 	reason string
 }
 
@@ -84,7 +84,7 @@
 		gu.guard.Stable(ou)
 	case policy.VersionID(rec.ToVersion):
 		gu.guard.Candidate(ou)
-		if gu.reason = gu.guard.Verdict(); gu.reason != "" && !ro.suspects[tg.version.ID] {
+		if gu.reason = gu.guard.RejectionReason(); gu.reason != "" && !ro.suspects[tg.version.ID] {
 			ro.suspects[tg.version.ID] = true
 			ro.log.Warn(event.VersionSuspect, nil, event.Fields{"version": tg.version.ID, "reason": gu.reason})
 		}
--- a/measure/cascade.go
+++ b/measure/cascade.go
@@ -22,7 +22,7 @@
 
 // world is the true quality of three models for three kinds of work.
 type world struct {
-	works   []cascade.Work
+	works   []cascade.WorkKind
 	mix     []float64
 	arms    []cascade.Arm
 	quality [][]float64
@@ -30,7 +30,7 @@
 
 func newWorld() *world {
 	return &world{
-		works: []cascade.Work{"ledger summary", "condition note", "folio tag"},
+		works: []cascade.WorkKind{"ledger summary", "condition note", "folio tag"},
 		mix:   []float64{0.4, 0.3, 0.3},
 		arms: []cascade.Arm{
 			{Model: "small", Version: "small-1", Cost: 10, Quality: 0.8},
@@ -127,7 +127,7 @@
 func (wo *world) ours(seed uint64) (armChooser, func(kind, arm int, quality float64)) {
 	ch := cascade.NewChooser(seed)
 	choose := func(kind int) int { return ch.Choose(wo.works[kind], wo.arms, qualityTarget).Index }
-	rate := func(kind, arm int, quality float64) { ch.Rate(wo.works[kind], wo.arms[arm].Version, quality) }
+	rate := func(kind, arm int, quality float64) { ch.AddRating(wo.works[kind], wo.arms[arm].Version, quality) }
 	return choose, rate
 }
 
@@ -241,7 +241,7 @@
 		}
 		return ch.Choose(wo.works[kind], wo.arms, qualityTarget).Index
 	}, func(kind, arm int, quality float64) {
-		ch.Rate(wo.works[kind], wo.arms[arm].Version, quality)
+		ch.AddRating(wo.works[kind], wo.arms[arm].Version, quality)
 	}, func(i int) { gone = i >= at })
 	regained := ou.regained(at)
 	return Row{
--- a/measure/exposure.go
+++ b/measure/exposure.go
@@ -57,12 +57,12 @@
 
 // sequential is the code that serves.
 type sequential struct {
-	guard   rollout.Guard
-	quality *rollout.Quality
+	guard   rollout.HealthTest
+	quality *rollout.QualityTest
 }
 
 func newSequential() judge {
-	return &sequential{quality: rollout.NewQuality(usualQuality, 0.02)}
+	return &sequential{quality: rollout.NewQualityTest(usualQuality, 0.02)}
 }
 
 func (se *sequential) stable(ou rollout.Outcome, quality float64) {
@@ -77,7 +77,7 @@
 	if !ou.Failed {
 		se.quality.Candidate(quality)
 	}
-	return se.guard.Verdict() != "" || se.quality.Rejects()
+	return se.guard.RejectionReason() != "" || se.quality.Rejects()
 }
 
 // windowed looks at each full window of answers, by the same margins.
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -59,7 +59,7 @@
 // answer is an answer that has begun.
 type answer struct {
 	*attempt
-	head   Head
+	head   AnswerHead
 	status int
 	header http.Header
 	body   []byte
@@ -123,9 +123,9 @@
 	if time.Until(ca.deadline) < leastRemaining {
 		return nil, &failure{err: context.DeadlineExceeded, notRun: true}
 	}
-	he := ro.options().Dialect.Header(Send{
+	he := ro.options().Dialect.Header(SendParams{
 		Request: rq, Endpoint: at.endpoint, Organisation: ca.organisation, Model: ca.modelID(),
-		Deadline: ca.deadline, After: after, Urgency: ca.urgency,
+		Deadline: ca.deadline, LastEventID: after, Urgency: ca.urgency,
 	}, time.Now())
 	ca.sends++
 	ro.log.Request(event.RequestSent, event.Fields{
@@ -146,7 +146,7 @@
 	}
 	an := &answer{attempt: at, status: source.Status, header: source.Header, source: source}
 	an.head = ro.options().Dialect.Head(source.Status, source.Header)
-	if an.head.Loaded {
+	if an.head.HasLoad {
 		ro.balancer.Report(time.Now(), at.endpoint.ID, an.head.Running+an.head.Waiting)
 	}
 	return an.read()
@@ -286,7 +286,7 @@
 	}
 	if !fa.notRun {
 		overdue := causeOf(fa.err) == string(endpoint.CauseSilent) && time.Now().Before(at.call.deadline)
-		ro.releases.observe(at.call.service.ID, at.endpoint, rollout.Outcome{Failed: !overdue, Overdue: overdue})
+		ro.releases.observe(at.call.service.ID, at.endpoint, rollout.Outcome{Failed: !overdue, TimedOut: overdue})
 	}
 	ro.metrics.Attempts.Add(ctx, 1, metric.With(metric.KeyOutcome, "failed", metric.KeyCause, causeOf(fa.err)))
 	ro.log.Trouble(event.AttemptFailed, fa.err, event.Fields{
--- a/relay/refusal.go
+++ b/relay/refusal.go
@@ -12,18 +12,18 @@
 
 // The reasons.
 const (
-	ReasonNoPolicy    Reason = "no_policy"
-	ReasonNoRoute     Reason = "no_route"
-	ReasonKey         Reason = "unknown_key"
-	ReasonTooLarge    Reason = "body_too_large"
-	ReasonMalformed   Reason = "malformed"
-	ReasonDraining    Reason = "draining"
-	ReasonNoEndpoint  Reason = "no_endpoint"
-	ReasonBusy        Reason = "endpoints_busy"
-	ReasonLate        Reason = "deadline_unreachable"
-	ReasonUnreachable Reason = "endpoints_unreachable"
-	ReasonBroken      Reason = "answer_broken"
-	ReasonTimeout     Reason = "timeout"
+	ReasonNoPolicy             Reason = "no_policy"
+	ReasonNoRoute              Reason = "no_route"
+	ReasonUnknownKey           Reason = "unknown_key"
+	ReasonTooLarge             Reason = "body_too_large"
+	ReasonMalformed            Reason = "malformed"
+	ReasonDraining             Reason = "draining"
+	ReasonNoEndpoint           Reason = "no_endpoint"
+	ReasonEndpointsBusy        Reason = "endpoints_busy"
+	ReasonDeadlineUnreachable  Reason = "deadline_unreachable"
+	ReasonEndpointsUnreachable Reason = "endpoints_unreachable"
+	ReasonAnswerBroken         Reason = "answer_broken"
+	ReasonTimeout              Reason = "timeout"
 )
 
 // Refusal is the router's own final answer to a request.
--- a/relay/release.go
+++ b/relay/release.go
@@ -31,7 +31,7 @@
 // trial is a release under roll-out as this router sees it.
 type trial struct {
 	target policy.ReleaseID
-	guard  rollout.Guard
+	guard  rollout.HealthTest
 	// stable counts the answers of the release in use in the same time.
 	stable rollout.Counts
 	// bad is why the release is bad, "" while it is not known to be.
@@ -66,7 +66,7 @@
 	}
 	re.mu.Lock()
 	tr := re.get(now, ro)
-	exposed := rollout.Exposed(re.router.options().Rollout.GetExposedShare(), len(current))
+	exposed := rollout.TrialShare(re.router.options().Rollout.GetExposedShare(), len(current))
 	share := re.plan(ro, tr).Share(now, exposed, tr.heardAnswers+tr.guard.Answers)
 	bad := tr.bad != ""
 	re.mu.Unlock()
@@ -188,7 +188,7 @@
 		return
 	}
 	tr.guard.Candidate(ou)
-	if reason := tr.guard.Verdict(); reason != "" {
+	if reason := tr.guard.RejectionReason(); reason != "" {
 		re.condemn(ro, tr, reason)
 	}
 }
@@ -221,11 +221,11 @@
 			tr.elsewhere.note(now, ha)
 		}
 		tr.elsewhere.prune(now.Add(-re.sessionKeep()))
-		target := heard.target.Plus(rollout.Counts{Answers: tr.guard.Answers, Failures: tr.guard.Failures})
+		target := heard.target.Add(rollout.Counts{Answers: tr.guard.Answers, Failures: tr.guard.Failures})
 		switch {
 		case heard.bad != "":
 			re.condemn(ro, tr, heard.bad)
-		case target.Worse(heard.stable.Plus(tr.stable)):
+		case target.SignificantlyWorse(heard.stable.Add(tr.stable)):
 			re.condemn(ro, tr, "failures over all routers")
 		}
 		re.mu.Unlock()
@@ -252,8 +252,8 @@
 		if he.GetSuspect() {
 			out.bad = he.GetReason()
 		}
-		out.target = out.target.Plus(rollout.Counts{Answers: he.GetAnswers(), Failures: he.GetFailures()})
-		out.stable = out.stable.Plus(rollout.Counts{Answers: he.GetStableAnswers(), Failures: he.GetStableFailures()})
+		out.target = out.target.Add(rollout.Counts{Answers: he.GetAnswers(), Failures: he.GetFailures()})
+		out.stable = out.stable.Add(rollout.Counts{Answers: he.GetStableAnswers(), Failures: he.GetStableFailures()})
 		if time.Since(it.WrittenAt) < inFlightLifetime {
 			out.stableInFlight += he.GetStableInFlight()
 			for _, ha := range he.GetStableSessions() {
@@ -306,19 +306,19 @@
 	return int64(sum)
 }
 
-// Progress judges a roll-out that is under way.
-func (ro *Router) Progress(now time.Time, rec policy.Rollout) rollout.Progress {
+// RolloutProgress judges a roll-out that is under way.
+func (ro *Router) RolloutProgress(now time.Time, rec policy.Rollout) rollout.Progress {
 	heard := ro.releases.heard(rec)
 	inFlight := ro.releases.stableInFlight(rec)
 	ro.releases.mu.Lock()
 	defer ro.releases.mu.Unlock()
 	tr := ro.releases.get(now, rec)
 	pr := rollout.Progress{
-		Plan: ro.releases.plan(rec, tr), Started: rec.StartedAtMs > 0, Bad: tr.bad,
+		Plan: ro.releases.plan(rec, tr), Started: rec.StartedAtMs > 0, RejectionReason: tr.bad,
 		Answers: heard.target.Answers + tr.guard.Answers, StableInFlight: heard.stableInFlight + inFlight,
 	}
-	if pr.Bad == "" {
-		pr.Bad = heard.bad
+	if pr.RejectionReason == "" {
+		pr.RejectionReason = heard.bad
 	}
 	return pr
 }
--- a/relay/request.go
+++ b/relay/request.go
@@ -22,15 +22,15 @@
 // SessionID names a session of a caller.
 type SessionID string
 
-// PartID names a part of a prompt; equal parts have equal ids.
-type PartID string
+// PromptPartID names a part of a prompt; equal parts have equal ids.
+type PromptPartID string
 
 // EventID numbers the events of a stream; ids rise.
 type EventID int64
 
-// Part is a part of a prompt.
-type Part struct {
-	ID     PartID
+// PromptPart is a part of a prompt.
+type PromptPart struct {
+	ID     PromptPartID
 	Tokens policy.Tokens
 }
 
@@ -46,19 +46,19 @@
 	Header http.Header
 	Body   []byte
 	// Key is the caller's API key, "" without one.
-	Key     string
-	Arrived time.Time
+	Key        string
+	ReceivedAt time.Time
 	// Deadline is the caller's own, zero when it named none.
 	Deadline time.Time
 	Session  SessionID
 	// Prompt lists the parts of a prompt in order; the last is the request's own.
-	Prompt []Part
+	Prompt []PromptPart
 	// ExpectedOutput is the caller's estimate of the answer's tokens.
 	ExpectedOutput policy.Tokens
 	// AnyModel leaves the choice of the model to the router.
 	AnyModel bool
-	// After is the last event that the caller has of a stream, 0 for none.
-	After EventID
+	// LastEventID is the last event that the caller has of a stream, 0 for none.
+	LastEventID EventID
 }
 
 // promptTokens adds up the prompt.
--- a/relay/router.go
+++ b/relay/router.go
@@ -53,8 +53,8 @@
 	routers atomic.Int64
 }
 
-// Parts are what a router works with.
-type Parts struct {
+// Dependencies are what a router works with.
+type Dependencies struct {
 	Holder  *configuration.Holder
 	Client  *endpoint.Client
 	Peers   *peer.Group
@@ -63,7 +63,7 @@
 }
 
 // New gives a router.
-func New(opt Options, pa Parts) *Router {
+func New(opt Options, pa Dependencies) *Router {
 	ro := &Router{
 		holder: pa.Holder, client: pa.Client, peers: pa.Peers, log: pa.Log, metrics: pa.Metrics,
 		balancer: placement.NewBalancer(uint64(time.Now().UnixNano()), pa.Peers.FailureDomain()), paces: newPaces(), pressures: newPressures(),
@@ -148,7 +148,7 @@
 	}
 	ctx, cancel := context.WithDeadline(ctx, ca.deadline)
 	defer cancel()
-	ro.budgets.received(rq.Arrived, ca.service.ID)
+	ro.budgets.received(rq.ReceivedAt, ca.service.ID)
 	if re := ro.run(ctx, wr, ca); re != nil {
 		ro.refuse(wr, rq, re)
 	}
@@ -158,7 +158,7 @@
 	now := time.Now()
 	ro.metrics.Requests.Add(context.Background(), 1, metric.With(metric.KeyOutcome, string(re.Reason)))
 	ro.log.Trouble(event.RequestRefused, nil, event.Fields{
-		"request": rq.ID, "reason": re.Reason, "status": re.Status, "after_ms": now.Sub(rq.Arrived).Milliseconds(),
+		"request": rq.ID, "reason": re.Reason, "status": re.Status, "after_ms": now.Sub(rq.ReceivedAt).Milliseconds(),
 		"policy": ro.holder.Set().Revision,
 	})
 	re.Write(wr, now)
@@ -168,13 +168,13 @@
 func (ro *Router) admit(rq *Request) (*call, *Refusal) {
 	se := ro.holder.Set()
 	if se.Routes.Len() == 0 {
-		return nil, notRun(ReasonNoPolicy, rq.Arrived.Add(soon))
+		return nil, notRun(ReasonNoPolicy, rq.ReceivedAt.Add(soon))
 	}
 	rt, ok := se.RouteOf(rq.Host, rq.Path)
 	if !ok {
 		return nil, &Refusal{Status: http.StatusNotFound, Reason: ReasonNoRoute}
 	}
-	ca := &call{request: rq, route: rt, urgency: rt.Urgency, deadline: rt.Timeout(rq.Arrived)}
+	ca := &call{request: rq, route: rt, urgency: rt.Urgency, deadline: rt.Timeout(rq.ReceivedAt)}
 	if !rq.Deadline.IsZero() && rq.Deadline.Before(ca.deadline) {
 		ca.deadline = rq.Deadline
 	}
@@ -183,7 +183,7 @@
 	}
 	ca.service, ok = se.Services.ByID(rt.Service(rq.draw(string(rt.ID))))
 	if !ok {
-		return nil, notRun(ReasonNoEndpoint, rq.Arrived.Add(soon))
+		return nil, notRun(ReasonNoEndpoint, rq.ReceivedAt.Add(soon))
 	}
 	return ca, nil
 }
@@ -200,7 +200,7 @@
 	if ok || ca.route.Public || se.Organisations.Len() == 0 {
 		return nil
 	}
-	return &Refusal{Status: http.StatusUnauthorized, Reason: ReasonKey}
+	return &Refusal{Status: http.StatusUnauthorized, Reason: ReasonUnknownKey}
 }
 
 // models gives the models that the router may choose among; one empty name
--- a/relay/run.go
+++ b/relay/run.go
@@ -18,7 +18,7 @@
 func (ro *Router) run(ctx context.Context, wr http.ResponseWriter, ca *call) *Refusal {
 	var last *failure
 	for {
-		an, fa := ro.attempt(ctx, ca, ca.request.After)
+		an, fa := ro.attempt(ctx, ca, ca.request.LastEventID)
 		if fa == nil && ro.larger(ca, an) {
 			an.drop()
 			ca.model, ca.mayHaveRun = len(ca.models())-1, true
@@ -45,17 +45,17 @@
 // model.
 func (ro *Router) larger(ca *call, an *answer) bool {
 	models := ca.models()
-	if ca.keepSmall || ca.model == len(models)-1 || !an.head.Rated || ca.sends >= ca.route.MaxAttempts || !ca.route.Repeatable() {
+	if ca.keepSmall || ca.model == len(models)-1 || !an.head.HasConfidence || ca.sends >= ca.route.MaxAttempts || !ca.route.Repeatable() {
 		return false
 	}
 	key := paceKey{ca.service.ID, policy.ModelID(models[len(models)-1])}
 	work, _ := ro.paces.expect(key, ca.request.promptTokens(), 0)
-	left := time.Until(ca.request.Arrived.Add(ca.route.Target()))
-	step := cascade.Step{
+	left := time.Until(ca.request.ReceivedAt.Add(ca.route.Target()))
+	step := cascade.Escalation{
 		Confidence: an.head.Confidence, Work: float64(work), Pressure: float64(ca.pressure),
 		TimeLeft: left.Seconds(),
 	}
-	if !step.Escalate() || !ro.budgets.take(time.Now(), ca.service.ID, escalationShare) {
+	if !step.ShouldEscalate() || !ro.budgets.take(time.Now(), ca.service.ID, escalationShare) {
 		return false
 	}
 	ro.log.Request(event.ModelRaised, event.Fields{
@@ -86,20 +86,20 @@
 	now := time.Now()
 	ro.log.Trouble(event.RequestFailed, last.err, event.Fields{
 		"request": ca.request.ID, "route": ca.route.ID, "sends": ca.sends, "may_have_run": ca.mayHaveRun,
-		"after_ms": now.Sub(ca.request.Arrived).Milliseconds(),
+		"after_ms": now.Sub(ca.request.ReceivedAt).Milliseconds(),
 	})
 	switch {
 	case last.answer != nil:
 		ro.passFailure(wr, last.answer)
 		return nil
 	case !ca.mayHaveRun && last.nowhere:
-		return notRun(ReasonBusy, now.Add(ro.fleet.returnAfter(ca)))
+		return notRun(ReasonEndpointsBusy, now.Add(ro.fleet.returnAfter(ca)))
 	case !ca.mayHaveRun:
-		return notRun(ReasonUnreachable, now.Add(soon))
+		return notRun(ReasonEndpointsUnreachable, now.Add(soon))
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return &Refusal{Status: http.StatusGatewayTimeout, Reason: ReasonTimeout}
 	default:
-		return &Refusal{Status: http.StatusBadGateway, Reason: ReasonBroken}
+		return &Refusal{Status: http.StatusBadGateway, Reason: ReasonAnswerBroken}
 	}
 }
 
@@ -110,14 +110,14 @@
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		status = http.StatusBadGateway
-		ro.options().Dialect.Unsigned(an.header)
+		ro.options().Dialect.RemoveSignature(an.header)
 	}
 	an.writeWhole(wr, status)
 }
 
 // deliver passes an answer on.
 func (ro *Router) deliver(ctx context.Context, wr http.ResponseWriter, ca *call, an *answer) {
-	took := time.Since(ca.request.Arrived)
+	took := time.Since(ca.request.ReceivedAt)
 	ro.metrics.FirstToken.Record(ctx, took.Seconds())
 	outcome, pause := "answered", int64(0)
 	if an.stream == nil {
@@ -130,9 +130,9 @@
 	ro.metrics.Requests.Add(ctx, 1, metric.With(metric.KeyOutcome, outcome))
 	ro.log.Request(event.RequestAnswered, event.Fields{
 		"request": ca.request.ID, "route": ca.route.ID, "status": an.status, "outcome": outcome, "model": ca.modelID(), "sends": ca.sends,
-		"first_ms": took.Milliseconds(), "pause_ms": pause, "whole_ms": time.Since(ca.request.Arrived).Milliseconds(),
+		"first_ms": took.Milliseconds(), "pause_ms": pause, "whole_ms": time.Since(ca.request.ReceivedAt).Milliseconds(),
 	})
-	ro.metrics.Latency.Record(ctx, time.Since(ca.request.Arrived).Seconds())
+	ro.metrics.Latency.Record(ctx, time.Since(ca.request.ReceivedAt).Seconds())
 	if outcome == "cut" {
 		// The caller must not take what it has for a whole answer.
 		panic(http.ErrAbortHandler)
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -95,7 +95,7 @@
 // breaks. It tells whether it was completed, and the longest pause in
 // milliseconds.
 func (ro *Router) passStream(ctx context.Context, wr http.ResponseWriter, ca *call, an *answer) (whole bool, longest int64) {
-	st := &relayed{router: ro, call: ca, wr: wr, rc: http.NewResponseController(wr), last: ca.request.After}
+	st := &relayed{router: ro, call: ca, wr: wr, rc: http.NewResponseController(wr), last: ca.request.LastEventID}
 	copyHeader(wr.Header(), an.header)
 	wr.WriteHeader(an.status)
 	for {
--- a/rollout/exposed_test.go
+++ b/rollout/exposed_test.go
@@ -17,6 +17,6 @@
 		endpoints int
 		want      float64
 	}{{0, most}, {9, most}, {23, most}, {24, most / 2}, {60, most / 4}, {112, most / 8}, {2200, most / 128}} {
-		qt.Check(t, rollout.Exposed(most, tt.endpoints), qt.Equals, tt.want, qt.Commentf("%d endpoints", tt.endpoints))
+		qt.Check(t, rollout.TrialShare(most, tt.endpoints), qt.Equals, tt.want, qt.Commentf("%d endpoints", tt.endpoints))
 	}
 }
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -53,12 +53,12 @@
 // a trial needs its whole share of them.
 const fewEndpoints = 12
 
-// Exposed gives the share of the sessions that a trial takes, from the most that
+// TrialShare gives the share of the sessions that a trial takes, from the most that
 // it may take and the endpoints of the release in use. Where many serve, a
 // smaller share brings answers enough, and fewer sessions are on their way
 // between routers that have not heard of them yet. It goes by powers of two,
 // so that routers with slightly different counts agree.
-func Exposed(most float64, endpoints int) float64 {
+func TrialShare(most float64, endpoints int) float64 {
 	for n := endpoints; n >= 2*fewEndpoints; n /= 2 {
 		most /= 2
 	}
@@ -84,8 +84,8 @@
 	Plan
 	// Started tells whether the time of its start is noted.
 	Started bool
-	// Bad is why the release is bad, "" while it is not known to be.
-	Bad string
+	// RejectionReason is why the release is bad, "" while it is not known to be.
+	RejectionReason string
 	// Answers are the new release's.
 	Answers int64
 	// StableInFlight are the requests that still run on the release in use.
@@ -95,7 +95,7 @@
 // Next gives the action that is due.
 func (pr Progress) Next(now time.Time) Action {
 	switch {
-	case pr.Bad != "":
+	case pr.RejectionReason != "":
 		return ActionAbort
 	case !pr.Started:
 		return ActionStart
@@ -137,14 +137,14 @@
 	}
 }
 
-// Plus adds up.
-func (co Counts) Plus(other Counts) Counts {
+// Add adds up.
+func (co Counts) Add(other Counts) Counts {
 	return Counts{Answers: co.Answers + other.Answers, Failures: co.Failures + other.Failures}
 }
 
-// Worse tells whether failures are too many for chance, beside those of the
+// SignificantlyWorse tells whether failures are too many for chance, beside those of the
 // release in use.
-func (co Counts) Worse(stable Counts) bool {
+func (co Counts) SignificantlyWorse(stable Counts) bool {
 	if co.Failures < leastFailures {
 		return false
 	}
--- a/rollout/plan_test.go
+++ b/rollout/plan_test.go
@@ -38,8 +38,8 @@
 	}{
 		{"not noted yet", 1, rollout.Progress{}, rollout.ActionStart},
 		{"on trial", 5, rollout.Progress{Started: true, Answers: 100}, rollout.ActionNone},
-		{"bad", 5, rollout.Progress{Started: true, Bad: "errors", Answers: 9}, rollout.ActionAbort},
-		{"bad before it was noted", 1, rollout.Progress{Bad: "errors"}, rollout.ActionAbort},
+		{"bad", 5, rollout.Progress{Started: true, RejectionReason: "errors", Answers: 9}, rollout.ActionAbort},
+		{"bad before it was noted", 1, rollout.Progress{RejectionReason: "errors"}, rollout.ActionAbort},
 		{"requests just moved", 13, rollout.Progress{Started: true, Answers: 100}, rollout.ActionNone},
 		{"old release still serves", 16, rollout.Progress{Started: true, Answers: 100, StableInFlight: 1}, rollout.ActionNone},
 		{"proved", 16, rollout.Progress{Started: true, Answers: 100}, rollout.ActionComplete},
@@ -56,38 +56,38 @@
 
 func TestCountsTellBadFromUnlucky(t *testing.T) {
 	stable := rollout.Counts{Answers: 500, Failures: 70} // a service whose requests often fail
-	qt.Assert(t, rollout.Counts{Answers: 50, Failures: 10}.Worse(stable), qt.IsFalse)
-	qt.Assert(t, rollout.Counts{Answers: 50, Failures: 30}.Worse(stable), qt.IsTrue)
-	qt.Assert(t, rollout.Counts{Answers: 5, Failures: 5}.Worse(rollout.Counts{Answers: 500}), qt.IsFalse)
-	qt.Assert(t, rollout.Counts{Answers: 20, Failures: 6}.Worse(rollout.Counts{Answers: 500}), qt.IsTrue)
+	qt.Assert(t, rollout.Counts{Answers: 50, Failures: 10}.SignificantlyWorse(stable), qt.IsFalse)
+	qt.Assert(t, rollout.Counts{Answers: 50, Failures: 30}.SignificantlyWorse(stable), qt.IsTrue)
+	qt.Assert(t, rollout.Counts{Answers: 5, Failures: 5}.SignificantlyWorse(rollout.Counts{Answers: 500}), qt.IsFalse)
+	qt.Assert(t, rollout.Counts{Answers: 20, Failures: 6}.SignificantlyWorse(rollout.Counts{Answers: 500}), qt.IsTrue)
 }
 
 // TestLoadOnAGoodReleaseIsNoFailure replays the move of all requests to a good
 // release: its caches are cold, and one wait in twelve is given up, as with the
 // release in use under the same load. It was rolled back on versehall quiet-1.
 func TestLoadOnAGoodReleaseIsNoFailure(t *testing.T) {
-	var gu rollout.Guard
+	var gu rollout.HealthTest
 	for i := range 400 {
-		gu.Stable(rollout.Outcome{FirstToken: 1 + float64(i%5)/2, Overdue: i%20 == 0})
+		gu.Stable(rollout.Outcome{FirstToken: 1 + float64(i%5)/2, TimedOut: i%20 == 0})
 	}
 	for i := range 300 {
 		ou := rollout.Outcome{FirstToken: 1 + float64(i%5)/2}
 		if i%12 == 0 {
-			ou = rollout.Outcome{Overdue: true}
+			ou = rollout.Outcome{TimedOut: true}
 		}
 		gu.Candidate(ou)
 	}
-	qt.Assert(t, gu.Verdict(), qt.Equals, "")
+	qt.Assert(t, gu.RejectionReason(), qt.Equals, "")
 	qt.Assert(t, gu.Failures, qt.Equals, int64(0))
 }
 
 func TestReleaseThatHangsIsBad(t *testing.T) {
-	var gu rollout.Guard
+	var gu rollout.HealthTest
 	for range 100 {
 		gu.Stable(rollout.Outcome{FirstToken: 1})
 	}
 	for i := range 40 {
-		gu.Candidate(rollout.Outcome{FirstToken: 1, Overdue: i%3 == 0})
+		gu.Candidate(rollout.Outcome{FirstToken: 1, TimedOut: i%3 == 0})
 	}
-	qt.Assert(t, gu.Verdict(), qt.Equals, "slow first token")
+	qt.Assert(t, gu.RejectionReason(), qt.Equals, "slow first token")
 }
--- a/rollout/test.go
+++ b/rollout/test.go
@@ -18,23 +18,23 @@
 // bets are the shares of the stake that the test mixes over.
 var bets = [...]float64{0.05, 0.15, 0.4, 0.8}
 
-// Test accumulates evidence that a mean loss is above the accepted one.
-type Test struct {
+// SequentialTest accumulates evidence that a mean loss is above the accepted one.
+type SequentialTest struct {
 	// logWealth holds the logarithm of what each bet has come to.
 	logWealth [len(bets)]float64
 }
 
 // Observe adds a loss from 0 to 1; accepted is the largest mean loss of a good
 // version, between 0 and 1.
-func (te *Test) Observe(loss, accepted float64) {
+func (te *SequentialTest) Observe(loss, accepted float64) {
 	accepted = min(0.99, max(0.001, accepted))
 	for i, be := range bets {
 		te.logWealth[i] += math.Log1p(be / accepted * (loss - accepted))
 	}
 }
 
-// Evidence is the mean of the bets' wealth, as a logarithm.
-func (te *Test) Evidence() float64 {
+// LogEvidence is the mean of the bets' wealth, as a logarithm.
+func (te *SequentialTest) LogEvidence() float64 {
 	top := te.logWealth[0]
 	for _, lw := range te.logWealth {
 		top = max(top, lw)
@@ -47,7 +47,7 @@
 }
 
 // Rejects tells whether the candidate is bad.
-func (te *Test) Rejects() bool { return te.Evidence() > -math.Log(falseStop) }
+func (te *SequentialTest) Rejects() bool { return te.LogEvidence() > -math.Log(falseStop) }
 
 // Baseline follows the losses of the version in use.
 type Baseline struct {
@@ -64,10 +64,10 @@
 	ba.mean += (loss - ba.mean) / ba.count
 }
 
-// Accepted is the largest mean loss that a good candidate may have: the
+// AcceptedLoss is the largest mean loss that a good candidate may have: the
 // baseline's, what chance adds to it, and a margin. prior is the mean before
 // any loss was seen.
-func (ba *Baseline) Accepted(prior, margin float64) float64 {
+func (ba *Baseline) AcceptedLoss(prior, margin float64) float64 {
 	const priorWeight = 20
 	mean := (ba.mean*ba.count + prior*priorWeight) / (ba.count + priorWeight)
 	chance := 2 * math.Sqrt(mean*(1-mean)/(ba.count+priorWeight))
@@ -89,16 +89,16 @@
 	// FirstToken is the seconds to the first token, or their ratio to what was
 	// expected; 0 when unknown.
 	FirstToken float64
-	// Overdue tells that the wait for the first token was given up. Under load
+	// TimedOut tells that the wait for the first token was given up. Under load
 	// that happens to good versions too: it counts as slow, not as a failure.
-	Overdue bool
+	TimedOut bool
 }
 
-// Guard judges a candidate by what entries see at once: errors, silence and
+// HealthTest judges a candidate by what entries see at once: errors, silence and
 // slowness. It is not safe for concurrent use.
-type Guard struct {
-	failures     Test
-	slow         Test
+type HealthTest struct {
+	failures     SequentialTest
+	slow         SequentialTest
 	baseFailures Baseline
 	baseSlow     Baseline
 	firstToken   float64
@@ -107,9 +107,9 @@
 }
 
 // Stable adds an outcome of the version in use.
-func (gu *Guard) Stable(ou Outcome) {
+func (gu *HealthTest) Stable(ou Outcome) {
 	gu.baseFailures.Observe(loss(ou.Failed))
-	if ou.FirstToken > 0 || ou.Overdue {
+	if ou.FirstToken > 0 || ou.TimedOut {
 		gu.baseSlow.Observe(loss(gu.isSlow(ou)))
 	}
 	if ou.FirstToken <= 0 {
@@ -123,23 +123,23 @@
 }
 
 // Candidate adds an outcome of the candidate.
-func (gu *Guard) Candidate(ou Outcome) {
+func (gu *HealthTest) Candidate(ou Outcome) {
 	gu.Answers++
 	if ou.Failed {
 		gu.Failures++
 	}
-	gu.failures.Observe(loss(ou.Failed), gu.baseFailures.Accepted(failurePrior, failureMargin))
-	if (ou.FirstToken > 0 || ou.Overdue) && gu.firstToken > 0 {
-		gu.slow.Observe(loss(gu.isSlow(ou)), gu.baseSlow.Accepted(slowPrior, slowMargin))
+	gu.failures.Observe(loss(ou.Failed), gu.baseFailures.AcceptedLoss(failurePrior, failureMargin))
+	if (ou.FirstToken > 0 || ou.TimedOut) && gu.firstToken > 0 {
+		gu.slow.Observe(loss(gu.isSlow(ou)), gu.baseSlow.AcceptedLoss(slowPrior, slowMargin))
 	}
 }
 
-func (gu *Guard) isSlow(ou Outcome) bool {
-	return ou.Overdue || gu.firstToken > 0 && ou.FirstToken > slowFactor*gu.firstToken
+func (gu *HealthTest) isSlow(ou Outcome) bool {
+	return ou.TimedOut || gu.firstToken > 0 && ou.FirstToken > slowFactor*gu.firstToken
 }
 
-// Verdict gives why the candidate is bad, "" while it is not.
-func (gu *Guard) Verdict() string {
+// RejectionReason gives why the candidate is bad, "" while it is not.
+func (gu *HealthTest) RejectionReason() string {
 	switch {
 	case gu.failures.Rejects():
 		return "errors or silence"
@@ -156,9 +156,9 @@
 	return 0
 }
 
-// Quality judges a candidate by ratings. It is not safe for concurrent use.
-type Quality struct {
-	test     Test
+// QualityTest judges a candidate by ratings. It is not safe for concurrent use.
+type QualityTest struct {
+	test     SequentialTest
 	base     QualityBaseline
 	Answers  int64
 	margin   float64
@@ -170,14 +170,14 @@
 	count, mean, squares float64
 }
 
-// NewQuality gives a judge; expected is the quality that the record states for
+// NewQualityTest gives a judge; expected is the quality that the record states for
 // the version in use, margin the loss of quality that is accepted.
-func NewQuality(expected, margin float64) *Quality {
-	return &Quality{expected: expected, margin: margin}
+func NewQualityTest(expected, margin float64) *QualityTest {
+	return &QualityTest{expected: expected, margin: margin}
 }
 
 // Stable adds a rating of the version in use.
-func (qu *Quality) Stable(quality float64) {
+func (qu *QualityTest) Stable(quality float64) {
 	ba := &qu.base
 	ba.count++
 	delta := quality - ba.mean
@@ -186,13 +186,13 @@
 }
 
 // Candidate adds a rating of the candidate.
-func (qu *Quality) Candidate(quality float64) {
+func (qu *QualityTest) Candidate(quality float64) {
 	qu.Answers++
 	qu.test.Observe(1-quality, 1-qu.accepted())
 }
 
 // accepted is the least mean quality of a good candidate.
-func (qu *Quality) accepted() float64 {
+func (qu *QualityTest) accepted() float64 {
 	const priorWeight = 5
 	mean := (qu.base.mean*qu.base.count + qu.expected*priorWeight) / (qu.base.count + priorWeight)
 	spread := 0.1
@@ -203,7 +203,7 @@
 }
 
 // Rejects tells whether the candidate is worse than accepted.
-func (qu *Quality) Rejects() bool { return qu.test.Rejects() }
+func (qu *QualityTest) Rejects() bool { return qu.test.Rejects() }
 
 // NextShare gives the share after the one a roll-out is at; false when it is
 // at its last.
--- a/router/rollout.go
+++ b/router/rollout.go
@@ -27,7 +27,7 @@
 		if ro.Service == "" || !ro.Active() || da.relay.Draining() {
 			continue
 		}
-		pr := da.relay.Progress(now, ro)
+		pr := da.relay.RolloutProgress(now, ro)
 		ac := pr.Next(now)
 		if ac == rollout.ActionNone {
 			delete(da.dueSince, ro.ID)
@@ -71,7 +71,7 @@
 	case rollout.ActionStart:
 		da.record(ctx, ho, ro, rpc.RolloutState_RUNNING, pr.StartedAt, "taken up")
 	case rollout.ActionAbort:
-		why := pr.Bad
+		why := pr.RejectionReason
 		if why == "" {
 			why = "not proved in time"
 		}
--- a/router/router.go
+++ b/router/router.go
@@ -90,7 +90,7 @@
 	da.leases = lease.NewManager(prefix, da.store, string(da.peers.Incarnation()), rs.GetRollout().GetLease().AsDuration(), lo)
 	da.relay = relay.New(
 		relay.Options{Dialect: platform.Dialect{}, Serving: rs.GetServing(), Rollout: rs.GetRollout()},
-		relay.Parts{Holder: da.holder, Client: da.client, Peers: da.peers, Log: lo, Metrics: me},
+		relay.Dependencies{Holder: da.holder, Client: da.client, Peers: da.peers, Log: lo, Metrics: me},
 	)
 	return da, eris.Wrap(da.addGauges(), "router.New")
 }
--- a/steward/ratings.go
+++ b/steward/ratings.go
@@ -81,8 +81,8 @@
 		rt.choosers[name] = ch
 	}
 	su := rt.sum(name, work, version)
-	ch.Rate(cascade.Work(work), policy.VersionID(version), quality)
-	su.Weight, su.Mean = ch.Estimate(cascade.Work(work), policy.VersionID(version))
+	ch.AddRating(cascade.WorkKind(work), policy.VersionID(version), quality)
+	su.Weight, su.Mean = ch.Estimate(cascade.WorkKind(work), policy.VersionID(version))
 }
 
 func (rt *ratingsTask) sum(name, work, version string) *sumItem {
@@ -128,7 +128,7 @@
 			ch = cascade.NewChooser(0)
 			rt.choosers[su.Cascade] = ch
 		}
-		ch.SetEstimate(cascade.Work(su.Work), policy.VersionID(su.Version), su.Weight, su.Mean)
+		ch.SetEstimate(cascade.WorkKind(su.Work), policy.VersionID(su.Version), su.Weight, su.Mean)
 	}
 	return true
 }
--- a/steward/rollout.go
+++ b/steward/rollout.go
@@ -25,7 +25,7 @@
 type rolloutTask struct {
 	daemon *Daemon
 	id     policy.RolloutID
-	judge  *rollout.Quality
+	judge  *rollout.QualityTest
 	// sequence is the last rating read.
 	sequence int64
 	// counts are the candidate's answers by entry, as last heard.
@@ -101,7 +101,7 @@
 	}
 	if rt.judge == nil {
 		ve, _ := se.Versions.ByID(policy.VersionID(ro.FromVersion))
-		rt.judge = rollout.NewQuality(ve.Quality, ro.QualityMargin)
+		rt.judge = rollout.NewQualityTest(ve.Quality, ro.QualityMargin)
 	}
 	ras, err := rt.daemon.ratings.After(ctx, rt.sequence)
 	if err != nil {
