--- a/cascade/cascade.go
+++ b/cascade/cascade.go
@@ -21,17 +21,17 @@
 const (
 	// priorWeight is how many ratings the record's own quality counts for.
 	priorWeight = 4
-	// window is how many of the last ratings an estimate weighs.
-	window = 150
-	// priceStep is how fast the price of quality moves.
-	priceStep = 0.25
-	maxPrice  = 200
+	// ratingWindow is how many of the last ratings an estimate weighs.
+	ratingWindow = 150
+	// priceStepSize is how fast the price of quality moves.
+	priceStepSize = 0.25
+	maxPrice      = 200
 	// exploreShare of the requests try another model, to learn of drift.
 	exploreShare = 0.02
 	// maxKinds bounds the kinds of work told apart.
 	maxKinds = 256
-	// safety is added to the target, against errors of the estimates.
-	safety = 0.002
+	// targetMargin is added to the target, against errors of the estimates.
+	targetMargin = 0.002
 )
 
 // Arm is one model that may be chosen.
@@ -84,7 +84,7 @@
 	}
 	ch.kinds[work] = true
 	es := ch.estimates[key{work, version}]
-	es.weight = min(window, es.weight+1)
+	es.weight = min(ratingWindow, es.weight+1)
 	es.mean += (quality - es.mean) / es.weight
 	ch.estimates[key{work, version}] = es
 }
@@ -117,24 +117,24 @@
 
 // Choose picks among arms for one request, and moves the price of quality.
 func (ch *Chooser) Choose(work WorkKind, arms []Arm, target float64) Choice {
-	best := ch.best(work, arms)
+	best := ch.bestArm(work, arms)
 	quality := ch.Quality(work, arms[best])
-	ch.price = min(maxPrice, max(0, ch.price+priceStep*(target+safety-quality)))
+	ch.price = min(maxPrice, max(0, ch.price+priceStepSize*(target+targetMargin-quality)))
 	if len(arms) > 1 && ch.rng.Float64() < exploreShare {
 		return Choice{Index: ch.rng.IntN(len(arms)), Explored: true, Quality: quality, Price: ch.price}
 	}
 	return Choice{Index: best, Quality: quality, Price: ch.price}
 }
 
-// best weighs quality at its price against cost, relative to the dearest arm.
-func (ch *Chooser) best(work WorkKind, arms []Arm) int {
-	dearest := 1.0
+// bestArm weighs quality at its price against cost, relative to the dearest arm.
+func (ch *Chooser) bestArm(work WorkKind, arms []Arm) int {
+	maxCost := 1.0
 	for _, ar := range arms {
-		dearest = max(dearest, float64(ar.Cost))
+		maxCost = max(maxCost, float64(ar.Cost))
 	}
 	best, bestValue := 0, 0.0
 	for i, ar := range arms {
-		value := ch.price*ch.Quality(work, ar) - float64(ar.Cost)/dearest
+		value := ch.price*ch.Quality(work, ar) - float64(ar.Cost)/maxCost
 		if i == 0 || value > bestValue {
 			best, bestValue = i, value
 		}
--- a/cascade/step.go
+++ b/cascade/escalation.go
@@ -1,16 +1,16 @@
 package cascade
 
 const (
-	// escalateBelow is the confidence, from 0 to 100, below which an answer is
+	// idleThreshold is the confidence, from 0 to 100, below which an answer is
 	// given up at an idle fleet.
-	escalateBelow = 85
-	// leastConfidence is always low enough, while there is time.
-	leastConfidence = 12
+	idleThreshold = 85
+	// minThreshold is always low enough, while there is time.
+	minThreshold = 12
 	// workWeight is the confidence that a second of work is worth, and
 	// pressureWeight that of a second that waits at every endpoint, for each
 	// second of work.
-	workWeight     = 50
-	pressureWeight = 600
+	workWeight    = 50
+	backlogWeight = 600
 	// waitWeight is the confidence that using up the whole time left is worth.
 	waitWeight = 20
 )
@@ -33,11 +33,11 @@
 }
 
 // ShouldEscalate tells whether to start again at the largest model.
-func (st Escalation) ShouldEscalate() bool {
-	wait := st.Pressure + st.Work
-	if wait >= st.TimeLeft {
+func (es Escalation) ShouldEscalate() bool {
+	wait := es.Pressure + es.Work
+	if wait >= es.TimeLeft {
 		return false
 	}
-	limit := escalateBelow - workWeight*st.Work - pressureWeight*st.Pressure*st.Pressure*st.Work - waitWeight*wait/st.TimeLeft
-	return st.Confidence < max(leastConfidence, limit)
+	limit := idleThreshold - workWeight*es.Work - backlogWeight*es.Pressure*es.Pressure*es.Work - waitWeight*wait/es.TimeLeft
+	return es.Confidence < max(minThreshold, limit)
 }
--- a/cascade/step_test.go
+++ b/cascade/escalation_test.go
@@ -22,8 +22,8 @@
 }
 
 func TestNothingIsGivenUpThatWouldComeLate(t *testing.T) {
-	st := cascade.Escalation{Confidence: 1, Work: 0.5, Pressure: 0.6, TimeLeft: 1}
-	qt.Assert(t, st.ShouldEscalate(), qt.IsFalse)
+	es := cascade.Escalation{Confidence: 1, Work: 0.5, Pressure: 0.6, TimeLeft: 1}
+	qt.Assert(t, es.ShouldEscalate(), qt.IsFalse)
 }
 
 func TestConfidentAnswersAreKept(t *testing.T) {
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -21,39 +21,39 @@
 )
 
 const (
-	// maxWhole bounds an answer that is held until it is complete.
-	maxWhole = 8 << 20
-	// streamType is the media type of an answer in events.
-	streamType = "text/event-stream"
-	// patienceFactor times the target is how long a first event may take before
+	// maxBufferedBody bounds an answer that is held until it is complete.
+	maxBufferedBody = 8 << 20
+	// eventStreamType is the media type of an answer in events.
+	eventStreamType = "text/event-stream"
+	// streamWaitFactor times the target is how long a first event may take before
 	// another endpoint is tried, and plainPatience the same for whole answers.
-	patienceFactor = 0.75
-	plainPatience  = 2.0
-	// slowFactor times the expected time is never too long.
-	slowFactor = 4
-	// gapFactor times the longest pause in time is a silence that ends a run.
-	gapFactor = 1.25
-	// defaultGap stands for routes that set no pause.
-	defaultGap = 2 * time.Second
+	streamWaitFactor   = 0.75
+	bufferedWaitFactor = 2.0
+	// minWaitFactor times the expected time is never too long.
+	minWaitFactor = 4
+	// eventGapFactor times the longest pause in time is a silence that ends a run.
+	eventGapFactor = 1.25
+	// defaultEventGap stands for routes that set no pause.
+	defaultEventGap = 2 * time.Second
 )
 
 var (
-	errOther    = eris.New("answer belongs to another request")
-	errUnsigned = eris.New("answer does not come from the service")
-	errEncoded  = eris.New("answer is encoded, which nobody asked for")
-	errNotRun   = eris.New("endpoint did not run the request")
-	errStatus   = eris.New("endpoint answered with a failure")
+	errWrongRequest    = eris.New("answer belongs to another request")
+	errUnsigned        = eris.New("answer does not come from the service")
+	errContentEncoding = eris.New("answer is encoded, which nobody asked for")
+	errNotRun          = eris.New("endpoint did not run the request")
+	errFailureStatus   = eris.New("endpoint answered with a failure")
 )
 
 // attempt is one sending of a request to one endpoint.
 type attempt struct {
-	router   *Router
-	call     *call
-	placed   placement.Placed
-	endpoint policy.Endpoint
-	sentAt   time.Time
-	// ended tells that the attempt is counted.
-	ended bool
+	router    *Router
+	call      *call
+	placement placement.Placed
+	endpoint  policy.Endpoint
+	sentAt    time.Time
+	// finished tells that the attempt is counted.
+	finished bool
 }
 
 // answer is an answer that has begun.
@@ -64,15 +64,15 @@
 	header http.Header
 	body   []byte
 	// stream is set for answers in events, with the first read already.
-	stream *eventReader
-	first  streamEvent
-	source *endpoint.CarriedAnswer
+	stream     *eventReader
+	firstEvent streamEvent
+	source     *endpoint.CarriedAnswer
 }
 
 // attempt sends a request to one endpoint, and waits until the answer is whole
 // or its first event has come. after is the last event that the caller has.
 func (ro *Router) attempt(ctx context.Context, ca *call, after EventID) (*answer, *failure) {
-	at, fa := ro.choose(ca)
+	at, fa := ro.chooseEndpoint(ca)
 	if fa != nil {
 		return nil, fa
 	}
@@ -80,47 +80,47 @@
 	if fa == nil {
 		return an, nil
 	}
-	ca.tried = append(ca.tried, at.endpoint.ID)
+	ca.failedEndpoints = append(ca.failedEndpoints, at.endpoint.ID)
 	ca.mayHaveRun = ca.mayHaveRun || !fa.notRun
 	at.fail(ctx, fa)
 	return nil, fa
 }
 
-func (ro *Router) choose(ca *call) (*attempt, *failure) {
+func (ro *Router) chooseEndpoint(ca *call) (*attempt, *failure) {
 	rq, now := ca.request, time.Now()
-	key := paceKey{ca.service.ID, ca.modelID()}
-	whole, cached := ro.paces.expect(key, rq.promptTokens(), rq.sharedTokens())
-	jo := placement.Job{Start: rq.start(ca.modelID()), Work: whole, Cached: cached}
-	ens, instead := ro.releases.endpoints(now, ca)
-	ca.pressure = ro.pressure(now, ca.service.ID, ens)
+	key := latencyKey{ca.service.ID, ca.modelID()}
+	work, cached := ro.latencies.estimate(key, rq.promptTokens(), rq.prefixTokens())
+	jo := placement.Job{Start: rq.prefix(ca.modelID()), Work: work, Cached: cached}
+	ens, fallback := ro.releases.endpointsFor(now, ca)
+	ca.meanBacklog = ro.meanBacklog(now, ca.service.ID, ens)
 	routers := int(ro.routers.Load())
-	usable := func(en policy.Endpoint, ru placement.Running) bool { return ro.fleet.hasRoom(ca, en, ru, routers) }
-	pl, ok := ro.balancer.Choose(now, ens, jo, ca.tried, usable)
+	usable := func(en policy.Endpoint, ru placement.Running) bool { return ro.fleet.hasCapacity(ca, en, ru, routers) }
+	pl, ok := ro.balancer.Choose(now, ens, jo, ca.failedEndpoints, usable)
 	if !ok {
-		pl, ok = ro.balancer.Choose(now, instead, jo, ca.tried, usable)
+		pl, ok = ro.balancer.Choose(now, fallback, jo, ca.failedEndpoints, usable)
 	}
 	if !ok {
-		return nil, &failure{err: eris.New("no endpoint may be used"), notRun: true, nowhere: true}
+		return nil, &failure{err: eris.New("no endpoint may be used"), notRun: true, noEndpoint: true}
 	}
-	ro.releases.sent(now, ca, pl.Endpoint)
-	return &attempt{router: ro, call: ca, placed: pl, endpoint: pl.Endpoint, sentAt: now}, nil
+	ro.releases.recordSend(now, ca, pl.Endpoint)
+	return &attempt{router: ro, call: ca, placement: pl, endpoint: pl.Endpoint, sentAt: now}, nil
 }
 
-// pressure is the work that waits at the mean endpoint. Where the routers are
+// meanBacklog is the work that waits at the mean endpoint. Where the routers are
 // too many to tell each other, the others are taken to have as much as this one
 // has on average.
-func (ro *Router) pressure(now time.Time, id policy.ServiceID, ens []policy.Endpoint) placement.Work {
-	pr := ro.balancer.Pressure(now, ens)
+func (ro *Router) meanBacklog(now time.Time, id policy.ServiceID, ens []policy.Endpoint) placement.Work {
+	mean := ro.balancer.Pressure(now, ens)
 	if !ro.peers.Large() {
-		return pr
+		return mean
 	}
-	return ro.pressures.add(now, id, pr*placement.Work(ro.routers.Load()))
+	return ro.backlogs.add(now, id, mean*placement.Work(ro.routers.Load()))
 }
 
 // send makes the attempt.
 func (at *attempt) send(ctx context.Context, after EventID) (*answer, *failure) {
 	ro, ca, rq := at.router, at.call, at.call.request
-	if time.Until(ca.deadline) < leastRemaining {
+	if time.Until(ca.deadline) < minRemaining {
 		return nil, &failure{err: context.DeadlineExceeded, notRun: true}
 	}
 	he := ro.options().Dialect.Header(SendParams{
@@ -130,12 +130,12 @@
 	ca.sends++
 	ro.log.Request(event.RequestSent, event.Fields{
 		"request": rq.ID, "route": ca.route.ID, "endpoint": at.endpoint.ID, "release": at.endpoint.Release, "model": ca.modelID(),
-		"send": ca.sends, "estimate_ms": at.expected().Milliseconds(), "pressure_ms": int64(float64(ca.pressure) * 1000),
+		"send": ca.sends, "estimate_ms": at.estimatedWait().Milliseconds(), "pressure_ms": int64(float64(ca.meanBacklog) * 1000),
 		"policy": ro.holder.Set().Revision,
 	})
 	source, err := ro.client.Carry(ctx, endpoint.CarriedCall{
 		URL: at.endpoint.Url, Method: rq.Method, Target: rq.Target, Host: rq.Host, Header: he, Body: rq.Body,
-		Repeatable: ca.route.Repeatable(), AnswerBy: at.answerBy(), Progress: at.progress(),
+		Repeatable: ca.route.Repeatable(), AnswerBy: at.headDeadline(), Progress: at.idleTimeout(),
 	})
 	if err != nil {
 		fa := failureOf(err)
@@ -149,51 +149,51 @@
 	if an.head.HasLoad {
 		ro.balancer.Report(time.Now(), at.endpoint.ID, an.head.Running+an.head.Waiting)
 	}
-	return an.read()
+	return an.receive()
 }
 
-// answerBy is when the answer's head must have come: the deadline, or earlier
+// headDeadline is when the answer's head must have come: the deadline, or earlier
 // when another endpoint could still be in time.
-func (at *attempt) answerBy() time.Time {
+func (at *attempt) headDeadline() time.Time {
 	ca := at.call
 	if !ca.route.Repeatable() || ca.sends >= ca.route.MaxAttempts {
 		return ca.deadline
 	}
-	factor := plainPatience
-	if ca.streams() {
-		factor = patienceFactor
+	factor := bufferedWaitFactor
+	if ca.wantsStream() {
+		factor = streamWaitFactor
 	}
-	by := at.sentAt.Add(max(time.Duration(factor*float64(ca.route.Target())), slowFactor*at.expected()))
-	if by.After(ca.deadline) {
+	deadline := at.sentAt.Add(max(time.Duration(factor*float64(ca.route.Target())), minWaitFactor*at.estimatedWait()))
+	if deadline.After(ca.deadline) {
 		return ca.deadline
 	}
-	return by
+	return deadline
 }
 
-// expected is how long the endpoint should take until it answers.
-func (at *attempt) expected() time.Duration {
-	return time.Duration(float64(at.placed.Estimate) * float64(time.Second))
+// estimatedWait is how long the endpoint should take until it answers.
+func (at *attempt) estimatedWait() time.Duration {
+	return time.Duration(float64(at.placement.Estimate) * float64(time.Second))
 }
 
-// progress is the longest silence of an answer that has begun.
-func (at *attempt) progress() time.Duration {
+// idleTimeout is the longest silence of an answer that has begun.
+func (at *attempt) idleTimeout() time.Duration {
 	ca := at.call
-	if !ca.streams() {
-		return max(time.Until(ca.deadline), leastRemaining)
+	if !ca.wantsStream() {
+		return max(time.Until(ca.deadline), minRemaining)
 	}
 	if gap := ca.route.GapTarget(); gap > 0 {
-		return time.Duration(gapFactor * float64(gap))
+		return time.Duration(eventGapFactor * float64(gap))
 	}
-	return defaultGap
+	return defaultEventGap
 }
 
-// read takes in what decides about an answer: all of it, or its first event.
-func (an *answer) read() (*answer, *failure) {
+// receive takes in what decides about an answer: all of it, or its first event.
+func (an *answer) receive() (*answer, *failure) {
 	ca := an.call
 	switch {
 	case an.head.Request != "" && an.head.Request != ca.request.ID:
 		an.source.Close()
-		return nil, &failure{err: errOther}
+		return nil, &failure{err: errWrongRequest}
 	case an.head.NotRun:
 		an.source.Close()
 		return nil, &failure{err: errNotRun, notRun: true}
@@ -202,67 +202,67 @@
 		return nil, &failure{err: errUnsigned}
 	case an.header.Get("Content-Encoding") != "":
 		an.source.Close()
-		return nil, &failure{err: errEncoded}
+		return nil, &failure{err: errContentEncoding}
 	}
-	if ca.streams() && an.status == http.StatusOK && isStream(an.header) {
-		return an.readFirst()
+	if ca.wantsStream() && an.status == http.StatusOK && isStream(an.header) {
+		return an.readFirstEvent()
 	}
-	return an.readWhole()
+	return an.readBody()
 }
 
 func isStream(he http.Header) bool {
 	mt, _, err := mime.ParseMediaType(he.Get("Content-Type"))
-	return err == nil && mt == streamType
+	return err == nil && mt == eventStreamType
 }
 
-func (an *answer) readFirst() (*answer, *failure) {
+func (an *answer) readFirstEvent() (*answer, *failure) {
 	an.stream = newEventReader(an.source)
 	ev, err := an.stream.next()
 	if err != nil && !errors.Is(err, io.EOF) {
 		an.source.Close()
 		return nil, failureOf(an.source.Failed(err))
 	}
-	an.first = ev
-	an.begin()
+	an.firstEvent = ev
+	an.recordStart()
 	return an, nil
 }
 
-func (an *answer) readWhole() (*answer, *failure) {
+func (an *answer) readBody() (*answer, *failure) {
 	defer an.source.Close()
-	body, err := io.ReadAll(io.LimitReader(an.source, maxWhole+1))
+	body, err := io.ReadAll(io.LimitReader(an.source, maxBufferedBody+1))
 	if err != nil {
 		return nil, failureOf(an.source.Failed(err))
 	}
-	if len(body) > maxWhole {
-		return nil, &failure{err: eris.Errorf("answer is larger than %d bytes", maxWhole)}
+	if len(body) > maxBufferedBody {
+		return nil, &failure{err: eris.Errorf("answer is larger than %d bytes", maxBufferedBody)}
 	}
 	an.body = body
 	if an.status >= http.StatusBadRequest {
-		mistake := an.status < http.StatusInternalServerError && an.status != http.StatusTooManyRequests && an.status != http.StatusRequestTimeout
-		return nil, &failure{err: errStatus, answer: an, callerMistake: mistake}
+		callerError := an.status < http.StatusInternalServerError && an.status != http.StatusTooManyRequests && an.status != http.StatusRequestTimeout
+		return nil, &failure{err: errFailureStatus, answer: an, callerError: callerError}
 	}
-	an.begin()
+	an.recordStart()
 	an.finish(placement.Succeeded)
 	return an, nil
 }
 
-// begin notes that the answer has begun.
-func (at *attempt) begin() {
+// recordStart notes that the answer has begun.
+func (at *attempt) recordStart() {
 	ro, ca, took := at.router, at.call, time.Since(at.sentAt)
-	ro.balancer.Answered(at.placed, took)
-	ro.paces.observe(paceKey{ca.service.ID, ca.modelID()}, ca.request.promptTokens(), took)
-	ro.releases.observe(ca.service.ID, at.endpoint, rollout.Outcome{FirstToken: took.Seconds() / max(float64(at.placed.Estimate), 0.001)})
+	ro.balancer.Answered(at.placement, took)
+	ro.latencies.observe(latencyKey{ca.service.ID, ca.modelID()}, ca.request.promptTokens(), took)
+	ro.releases.observe(ca.service.ID, at.endpoint, rollout.Outcome{FirstToken: took.Seconds() / max(float64(at.placement.Estimate), 0.001)})
 	ro.metrics.Attempts.Add(context.Background(), 1, metric.With(metric.KeyOutcome, "answered", metric.KeyCause, ""))
 }
 
 // finish counts the attempt's end.
 func (at *attempt) finish(re placement.Result) {
-	if at.ended {
+	if at.finished {
 		return
 	}
-	at.ended = true
+	at.finished = true
 	ro := at.router
-	suspended, resumed := ro.balancer.Done(time.Now(), at.placed, re)
+	suspended, resumed := ro.balancer.Done(time.Now(), at.placement, re)
 	if suspended {
 		ro.log.Warn(event.EndpointOpened, nil, event.Fields{"endpoint": at.endpoint.ID, "service": at.endpoint.Service})
 	}
@@ -275,9 +275,9 @@
 func (at *attempt) fail(ctx context.Context, fa *failure) {
 	ro, result := at.router, placement.Failed
 	switch {
-	case errors.Is(ctx.Err(), context.Canceled) || fa.callerMistake || fa.notRun && errors.Is(fa.err, context.DeadlineExceeded):
+	case errors.Is(ctx.Err(), context.Canceled) || fa.callerError || fa.notRun && errors.Is(fa.err, context.DeadlineExceeded):
 		result = placement.Neutral
-	case errors.Is(fa.err, errStatus) || errors.Is(fa.err, errNotRun):
+	case errors.Is(fa.err, errFailureStatus) || errors.Is(fa.err, errNotRun):
 		result = placement.Erred
 	}
 	at.finish(result)
@@ -285,46 +285,46 @@
 		return
 	}
 	if !fa.notRun {
-		overdue := causeOf(fa.err) == string(endpoint.CauseSilent) && time.Now().Before(at.call.deadline)
+		overdue := causeLabel(fa.err) == string(endpoint.CauseSilent) && time.Now().Before(at.call.deadline)
 		ro.releases.observe(at.call.service.ID, at.endpoint, rollout.Outcome{Failed: !overdue, TimedOut: overdue})
 	}
-	ro.metrics.Attempts.Add(ctx, 1, metric.With(metric.KeyOutcome, "failed", metric.KeyCause, causeOf(fa.err)))
+	ro.metrics.Attempts.Add(ctx, 1, metric.With(metric.KeyOutcome, "failed", metric.KeyCause, causeLabel(fa.err)))
 	ro.log.Trouble(event.AttemptFailed, fa.err, event.Fields{
 		"request": at.call.request.ID, "endpoint": at.endpoint.ID, "release": at.endpoint.Release, "not_run": fa.notRun,
 		"after_ms": time.Since(at.sentAt).Milliseconds(), "policy": ro.holder.Set().Revision,
 	})
 }
 
-func causeOf(err error) string {
+func causeLabel(err error) string {
 	var fa *endpoint.Failure
 	switch {
 	case errors.As(err, &fa):
 		return string(fa.Cause)
 	case errors.Is(err, errNotRun):
 		return "not_run"
-	case errors.Is(err, errStatus):
+	case errors.Is(err, errFailureStatus):
 		return "status"
 	default:
 		return "other"
 	}
 }
 
-// drop ends an answer of which the caller has received nothing.
-func (an *answer) drop() {
+// discard ends an answer of which the caller has received nothing.
+func (an *answer) discard() {
 	an.source.Close()
 	an.finish(placement.Succeeded)
 }
 
-// writeWhole sends a complete answer.
-func (an *answer) writeWhole(wr http.ResponseWriter, status int) {
+// writeBuffered sends a complete answer.
+func (an *answer) writeBuffered(wr http.ResponseWriter, status int) {
 	copyHeader(wr.Header(), an.header)
 	wr.Header().Set("Content-Length", strconv.Itoa(len(an.body)))
 	wr.WriteHeader(status)
 	_, _ = io.Copy(wr, bytes.NewReader(an.body))
 }
 
-// hopHeaders concern one connection only.
-var hopHeaders = map[string]bool{
+// connectionHeaders concern one connection only.
+var connectionHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Content-Length": true, "Date": true,
 }
@@ -332,7 +332,7 @@
 // copyHeader gives the caller an endpoint's headers.
 func copyHeader(to, from http.Header) {
 	for name, values := range from {
-		if !hopHeaders[name] {
+		if !connectionHeaders[name] {
 			to[name] = values
 		}
 	}
--- a/relay/fleet.go
+++ b/relay/fleet.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// overbooked times its slots is the most that the routers have at an
+	// maxLoadPerSlot times its slots is the most that the routers have at an
 	// endpoint; more waits better elsewhere, or at the caller.
-	overbooked = 2
+	maxLoadPerSlot = 2
 	// connectionShare of an endpoint's connections are used, so that those that
 	// are closing leave room.
 	connectionShare = 0.8
@@ -25,33 +25,33 @@
 type fleet struct {
 	router *Router
 
-	mu       sync.Mutex
-	revision store.Revision
-	built    bool
-	members  map[policy.ServiceID][]policy.Endpoint
+	mu        sync.Mutex
+	revision  store.Revision
+	built     bool
+	byService map[policy.ServiceID][]policy.Endpoint
 	// lapsed are endpoints that vanished while the store was unsteady, with the
 	// time until which they count.
-	lapsed map[policy.EndpointID]lapsed
+	lapsed map[policy.EndpointID]lapsedEndpoint
 }
 
-type lapsed struct {
+type lapsedEndpoint struct {
 	endpoint policy.Endpoint
 	until    time.Time
 }
 
 func newFleet(ro *Router) *fleet {
-	return &fleet{router: ro, members: map[policy.ServiceID][]policy.Endpoint{}, lapsed: map[policy.EndpointID]lapsed{}}
+	return &fleet{router: ro, byService: map[policy.ServiceID][]policy.Endpoint{}, lapsed: map[policy.EndpointID]lapsedEndpoint{}}
 }
 
-// of gives the endpoints of a service that are not draining.
-func (fl *fleet) of(now time.Time, id policy.ServiceID) []policy.Endpoint {
+// forService gives the endpoints forService a service that are not draining.
+func (fl *fleet) forService(now time.Time, id policy.ServiceID) []policy.Endpoint {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	fl.rebuild(now)
-	ens := fl.members[id]
-	for _, la := range fl.lapsed {
-		if la.endpoint.Service == string(id) && now.Before(la.until) {
-			ens = append(ens[:len(ens):len(ens)], la.endpoint)
+	ens := fl.byService[id]
+	for _, le := range fl.lapsed {
+		if le.endpoint.Service == string(id) && now.Before(le.until) {
+			ens = append(ens[:len(ens):len(ens)], le.endpoint)
 		}
 	}
 	return ens
@@ -70,12 +70,12 @@
 	if fl.built && se.Revision == fl.revision {
 		return
 	}
-	fl.noteLapsed(now, se)
-	fl.members = map[policy.ServiceID][]policy.Endpoint{}
+	fl.retainLapsed(now, se)
+	fl.byService = map[policy.ServiceID][]policy.Endpoint{}
 	for _, en := range se.Endpoints.List() {
 		if !en.Draining {
 			id := policy.ServiceID(en.Service)
-			fl.members[id] = append(fl.members[id], en)
+			fl.byService[id] = append(fl.byService[id], en)
 		}
 	}
 	fl.built, fl.revision = true, se.Revision
@@ -85,11 +85,11 @@
 	})
 }
 
-// noteLapsed keeps the endpoints that vanish while the store is unsteady: their
+// retainLapsed keeps the endpoints that vanish while the store is unsteady: their
 // registrations may have run out because nothing could renew them.
-func (fl *fleet) noteLapsed(now time.Time, se *policy.Set) {
-	for id, la := range fl.lapsed {
-		if _, back := se.Endpoints.ByID(id); back || now.After(la.until) {
+func (fl *fleet) retainLapsed(now time.Time, se *policy.Set) {
+	for id, le := range fl.lapsed {
+		if _, back := se.Endpoints.ByID(id); back || now.After(le.until) {
 			delete(fl.lapsed, id)
 		}
 	}
@@ -97,20 +97,20 @@
 	if now.Sub(fl.router.holder.SteadyFrom(now)) > sv.GetStoreSettle().AsDuration() {
 		return
 	}
-	for _, ens := range fl.members {
+	for _, ens := range fl.byService {
 		for _, en := range ens {
 			if _, ok := se.Endpoints.ByID(en.ID); ok {
 				continue
 			}
-			fl.lapsed[en.ID] = lapsed{endpoint: en, until: now.Add(sv.GetLapseGrace().AsDuration())}
+			fl.lapsed[en.ID] = lapsedEndpoint{endpoint: en, until: now.Add(sv.GetLapseGrace().AsDuration())}
 			fl.router.log.Info(event.EndpointLapsed, event.Fields{"endpoint": en.ID, "policy": se.Revision})
 		}
 	}
 }
 
-// hasRoom tells whether an endpoint may have one more request.
-func (fl *fleet) hasRoom(ca *call, en policy.Endpoint, running placement.Running, routers int) bool {
-	if running.All >= overbooked*int(en.Slots) {
+// hasCapacity tells whether an endpoint may have one more request.
+func (fl *fleet) hasCapacity(ca *call, en policy.Endpoint, running placement.Running, routers int) bool {
+	if running.All >= maxLoadPerSlot*int(en.Slots) {
 		return false
 	}
 	most := ca.service.MaxConnections
@@ -120,11 +120,11 @@
 	return float64(running.Own+1) <= max(1, connectionShare*float64(most)/float64(routers))
 }
 
-// returnAfter gives the time after which a request that found no room should
+// retryAfter gives the time after which a request that found no room should
 // come back.
-func (fl *fleet) returnAfter(ca *call) time.Duration {
-	if ca.route.Target() < soon {
-		return soon
+func (fl *fleet) retryAfter(ca *call) time.Duration {
+	if ca.route.Target() < defaultRetryDelay {
+		return defaultRetryDelay
 	}
-	return 2 * soon
+	return 2 * defaultRetryDelay
 }
--- a/relay/refusal.go
+++ b/relay/refusal.go
@@ -37,8 +37,8 @@
 // Error gives the reason.
 func (re *Refusal) Error() string { return "relay: " + string(re.Reason) }
 
-// notRun refuses a request that no endpoint has run or will run.
-func notRun(rs Reason, retryAt time.Time) *Refusal {
+// refuseNotRun refuses a request that no endpoint has run or will run.
+func refuseNotRun(rs Reason, retryAt time.Time) *Refusal {
 	return &Refusal{Status: http.StatusServiceUnavailable, Reason: rs, RetryAt: retryAt}
 }
 
--- a/relay/request.go
+++ b/relay/request.go
@@ -70,16 +70,16 @@
 	return sum
 }
 
-// sharedTokens adds up the parts before the request's own.
-func (rq *Request) sharedTokens() policy.Tokens {
+// prefixTokens adds up the parts before the request's own.
+func (rq *Request) prefixTokens() policy.Tokens {
 	if len(rq.Prompt) == 0 {
 		return 0
 	}
 	return rq.promptTokens() - rq.Prompt[len(rq.Prompt)-1].Tokens
 }
 
-// start names the shared start of the prompt for a model, 0 when there is none.
-func (rq *Request) start(model policy.ModelID) placement.Prefix {
+// prefix names the shared prefix of the prompt for a model, 0 when there is none.
+func (rq *Request) prefix(model policy.ModelID) placement.Prefix {
 	if len(rq.Prompt) < 2 {
 		return 0
 	}
@@ -91,16 +91,16 @@
 	return placement.Prefix(di.Sum64())
 }
 
-// draw gives a number from 0 to 1 that is the same for all requests of a
+// sessionFraction gives a number from 0 to 1 that is the same for all requests of a
 // session; salt makes draws for different ends independent.
-func (rq *Request) draw(salt string) float64 {
+func (rq *Request) sessionFraction(salt string) float64 {
 	if rq.Session == "" {
-		return drawOf(salt, string(rq.ID))
+		return hashFraction(salt, string(rq.ID))
 	}
-	return drawOf(salt, string(rq.Session))
+	return hashFraction(salt, string(rq.Session))
 }
 
-func drawOf(salt, key string) float64 {
+func hashFraction(salt, key string) float64 {
 	const scale = 1 << 52
 	return float64(xxhash.Sum64String(salt+"\x00"+key)%scale) / scale
 }
--- a/relay/router.go
+++ b/relay/router.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	// soon is when a request that was not run should come back when nothing
+	// defaultRetryDelay is when a request that was not run should come back when nothing
 	// better is known.
-	soon = 300 * time.Millisecond
-	// leastRemaining is the time left below which a request is not sent any more.
-	leastRemaining = 5 * time.Millisecond
+	defaultRetryDelay = 300 * time.Millisecond
+	// minRemaining is the time left below which a request is not sent any more.
+	minRemaining = 5 * time.Millisecond
 )
 
 // Options say how a Router works.
@@ -34,21 +34,21 @@
 // Router serves the requests of routes. It is safe for concurrent use; each
 // part states its own lock, and which others are taken after it.
 type Router struct {
-	opt      atomic.Pointer[Options]
-	holder   *configuration.Holder
-	client   *endpoint.Client
-	peers    *peer.Group
-	log      *event.Log
-	metrics  *metric.Metrics
-	balancer *placement.Balancer
-	fleet    *fleet
-	paces    *paces
-	// pressures is used in large groups only.
-	pressures *pressures
-	budgets   *budgets
-	releases  *releases
-	draining  atomic.Bool
-	inFlight  atomic.Int64
+	current   atomic.Pointer[Options]
+	holder    *configuration.Holder
+	client    *endpoint.Client
+	peers     *peer.Group
+	log       *event.Log
+	metrics   *metric.Metrics
+	balancer  *placement.Balancer
+	fleet     *fleet
+	latencies *latencies
+	// backlogs is used in large groups only.
+	backlogs *backlogAverages
+	budgets  *retryBudgets
+	releases *releaseSelector
+	draining atomic.Bool
+	inFlight atomic.Int64
 	// routers counts the routers heard of, this one included.
 	routers atomic.Int64
 }
@@ -66,22 +66,22 @@
 func New(opt Options, pa Dependencies) *Router {
 	ro := &Router{
 		holder: pa.Holder, client: pa.Client, peers: pa.Peers, log: pa.Log, metrics: pa.Metrics,
-		balancer: placement.NewBalancer(uint64(time.Now().UnixNano()), pa.Peers.FailureDomain()), paces: newPaces(), pressures: newPressures(),
+		balancer: placement.NewBalancer(uint64(time.Now().UnixNano()), pa.Peers.FailureDomain()), latencies: newLatencies(), backlogs: newBacklogAverages(),
 	}
-	ro.opt.Store(&opt)
+	ro.current.Store(&opt)
 	ro.routers.Store(1)
 	ro.fleet = newFleet(ro)
-	ro.budgets = newBudgets(ro)
-	ro.releases = newReleases(ro)
+	ro.budgets = newRetryBudgets(ro)
+	ro.releases = newReleaseSelector(ro)
 	return ro
 }
 
 // options gives what is in force.
-func (ro *Router) options() *Options { return ro.opt.Load() }
+func (ro *Router) options() *Options { return ro.current.Load() }
 
 // SetOptions brings other options into force; budgets start anew.
 func (ro *Router) SetOptions(opt Options) {
-	ro.opt.Store(&opt)
+	ro.current.Store(&opt)
 	ro.budgets.reset()
 }
 
@@ -121,17 +121,17 @@
 	organisation policy.OrganisationID
 	urgency      int64
 	deadline     time.Time
-	// tried are the endpoints that failed it, sends counts those it was sent to.
-	tried []policy.EndpointID
-	sends int64
+	// failedEndpoints are the endpoints that failed it, sends counts those it was sent to.
+	failedEndpoints []policy.EndpointID
+	sends           int64
 	// mayHaveRun tells whether an endpoint may have run it.
 	mayHaveRun bool
-	// pressure is the work that waited at the mean endpoint at the last send.
-	pressure placement.Work
+	// meanBacklog is the work that waited at the mean endpoint at the last send.
+	meanBacklog placement.Work
 	// model is the choice so far among the route's models; keepSmall ends the
 	// choosing.
-	model     int
-	keepSmall bool
+	model        int
+	noEscalation bool
 }
 
 // Serve answers a request.
@@ -148,7 +148,7 @@
 	}
 	ctx, cancel := context.WithDeadline(ctx, ca.deadline)
 	defer cancel()
-	ro.budgets.received(rq.ReceivedAt, ca.service.ID)
+	ro.budgets.recordRequest(rq.ReceivedAt, ca.service.ID)
 	if re := ro.run(ctx, wr, ca); re != nil {
 		ro.refuse(wr, rq, re)
 	}
@@ -168,7 +168,7 @@
 func (ro *Router) admit(rq *Request) (*call, *Refusal) {
 	se := ro.holder.Set()
 	if se.Routes.Len() == 0 {
-		return nil, notRun(ReasonNoPolicy, rq.ReceivedAt.Add(soon))
+		return nil, refuseNotRun(ReasonNoPolicy, rq.ReceivedAt.Add(defaultRetryDelay))
 	}
 	rt, ok := se.RouteOf(rq.Host, rq.Path)
 	if !ok {
@@ -178,18 +178,18 @@
 	if !rq.Deadline.IsZero() && rq.Deadline.Before(ca.deadline) {
 		ca.deadline = rq.Deadline
 	}
-	if re := ca.identify(se); re != nil {
+	if re := ca.setOrganisation(se); re != nil {
 		return nil, re
 	}
-	ca.service, ok = se.Services.ByID(rt.Service(rq.draw(string(rt.ID))))
+	ca.service, ok = se.Services.ByID(rt.Service(rq.sessionFraction(string(rt.ID))))
 	if !ok {
-		return nil, notRun(ReasonNoEndpoint, rq.ReceivedAt.Add(soon))
+		return nil, refuseNotRun(ReasonNoEndpoint, rq.ReceivedAt.Add(defaultRetryDelay))
 	}
 	return ca, nil
 }
 
-// identify finds the organisation by its key. Routes that are public need none.
-func (ca *call) identify(se *policy.Set) *Refusal {
+// setOrganisation finds the organisation by its key. Routes that are public need none.
+func (ca *call) setOrganisation(se *policy.Set) *Refusal {
 	or, ok := se.OrganisationByKey(ca.request.Key)
 	if ok {
 		ca.organisation = or.ID
@@ -214,7 +214,7 @@
 
 func (ca *call) modelID() policy.ModelID { return policy.ModelID(ca.models()[ca.model]) }
 
-func (ca *call) streams() bool { return ca.route.Kind == rpc.RouteKind_STREAM }
+func (ca *call) wantsStream() bool { return ca.route.Kind == rpc.RouteKind_STREAM }
 
 // State is the router's part of a dump.
 type State struct {
--- a/relay/run.go
+++ b/relay/run.go
@@ -19,8 +19,8 @@
 	var last *failure
 	for {
 		an, fa := ro.attempt(ctx, ca, ca.request.LastEventID)
-		if fa == nil && ro.larger(ca, an) {
-			an.drop()
+		if fa == nil && ro.shouldEscalate(ca, an) {
+			an.discard()
 			ca.model, ca.mayHaveRun = len(ca.models())-1, true
 			continue
 		}
@@ -31,49 +31,49 @@
 		if fa.answer != nil || last == nil || last.answer == nil {
 			last = fa
 		}
-		if fa.nowhere || !ro.mayRepeat(ctx, ca, fa) {
-			return ro.final(ctx, wr, ca, last)
+		if fa.noEndpoint || !ro.mayRetry(ctx, ca, fa) {
+			return ro.writeFailure(ctx, wr, ca, last)
 		}
 		if fa.notRun && ca.model > 0 {
 			// Refused for want of room: a weaker answer is better than none.
-			ca.model, ca.keepSmall = 0, true
+			ca.model, ca.noEscalation = 0, true
 		}
 	}
 }
 
-// larger tells whether an answer that has begun is dropped for one of a larger
+// shouldEscalate tells whether an answer that has begun is dropped for one of a shouldEscalate
 // model.
-func (ro *Router) larger(ca *call, an *answer) bool {
+func (ro *Router) shouldEscalate(ca *call, an *answer) bool {
 	models := ca.models()
-	if ca.keepSmall || ca.model == len(models)-1 || !an.head.HasConfidence || ca.sends >= ca.route.MaxAttempts || !ca.route.Repeatable() {
+	if ca.noEscalation || ca.model == len(models)-1 || !an.head.HasConfidence || ca.sends >= ca.route.MaxAttempts || !ca.route.Repeatable() {
 		return false
 	}
-	key := paceKey{ca.service.ID, policy.ModelID(models[len(models)-1])}
-	work, _ := ro.paces.expect(key, ca.request.promptTokens(), 0)
+	key := latencyKey{ca.service.ID, policy.ModelID(models[len(models)-1])}
+	work, _ := ro.latencies.estimate(key, ca.request.promptTokens(), 0)
 	left := time.Until(ca.request.ReceivedAt.Add(ca.route.Target()))
-	step := cascade.Escalation{
-		Confidence: an.head.Confidence, Work: float64(work), Pressure: float64(ca.pressure),
+	es := cascade.Escalation{
+		Confidence: an.head.Confidence, Work: float64(work), Pressure: float64(ca.meanBacklog),
 		TimeLeft: left.Seconds(),
 	}
-	if !step.ShouldEscalate() || !ro.budgets.take(time.Now(), ca.service.ID, escalationShare) {
+	if !es.ShouldEscalate() || !ro.budgets.take(time.Now(), ca.service.ID, escalationShare) {
 		return false
 	}
 	ro.log.Request(event.ModelRaised, event.Fields{
 		"request": ca.request.ID, "from": ca.modelID(), "confidence": an.head.Confidence,
-		"pressure_ms": int64(float64(ca.pressure) * 1000), "left_ms": left.Milliseconds(),
+		"pressure_ms": int64(float64(ca.meanBacklog) * 1000), "left_ms": left.Milliseconds(),
 	})
 	return true
 }
 
-// mayRepeat decides whether a request whose attempt failed is sent again.
-func (ro *Router) mayRepeat(ctx context.Context, ca *call, fa *failure) bool {
-	if ctx.Err() != nil || ca.sends >= ca.route.MaxAttempts || fa.callerMistake {
+// mayRetry decides whether a request whose attempt failed is sent again.
+func (ro *Router) mayRetry(ctx context.Context, ca *call, fa *failure) bool {
+	if ctx.Err() != nil || ca.sends >= ca.route.MaxAttempts || fa.callerError {
 		return false
 	}
 	if !ca.route.Repeatable() && !fa.notRun {
 		return false
 	}
-	if !ro.budgets.take(time.Now(), ca.service.ID, wholeBudget) {
+	if !ro.budgets.take(time.Now(), ca.service.ID, failureShare) {
 		ro.log.Trouble(event.RetryBudgetSpent, nil, event.Fields{"request": ca.request.ID})
 		return false
 	}
@@ -81,8 +81,8 @@
 	return true
 }
 
-// final gives the last answer to a request that found no good one.
-func (ro *Router) final(ctx context.Context, wr http.ResponseWriter, ca *call, last *failure) *Refusal {
+// writeFailure gives the last answer to a request that found no good one.
+func (ro *Router) writeFailure(ctx context.Context, wr http.ResponseWriter, ca *call, last *failure) *Refusal {
 	now := time.Now()
 	ro.log.Trouble(event.RequestFailed, last.err, event.Fields{
 		"request": ca.request.ID, "route": ca.route.ID, "sends": ca.sends, "may_have_run": ca.mayHaveRun,
@@ -90,12 +90,12 @@
 	})
 	switch {
 	case last.answer != nil:
-		ro.passFailure(wr, last.answer)
+		ro.writeEndpointFailure(wr, last.answer)
 		return nil
-	case !ca.mayHaveRun && last.nowhere:
-		return notRun(ReasonEndpointsBusy, now.Add(ro.fleet.returnAfter(ca)))
+	case !ca.mayHaveRun && last.noEndpoint:
+		return refuseNotRun(ReasonEndpointsBusy, now.Add(ro.fleet.retryAfter(ca)))
 	case !ca.mayHaveRun:
-		return notRun(ReasonEndpointsUnreachable, now.Add(soon))
+		return refuseNotRun(ReasonEndpointsUnreachable, now.Add(defaultRetryDelay))
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return &Refusal{Status: http.StatusGatewayTimeout, Reason: ReasonTimeout}
 	default:
@@ -103,34 +103,34 @@
 	}
 }
 
-// passFailure gives the caller an endpoint's own failure. Statuses that promise
+// writeEndpointFailure gives the caller an endpoint's own failure. Statuses that promise
 // that a request was not run are the router's alone to give.
-func (ro *Router) passFailure(wr http.ResponseWriter, an *answer) {
+func (ro *Router) writeEndpointFailure(wr http.ResponseWriter, an *answer) {
 	status := an.status
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		status = http.StatusBadGateway
 		ro.options().Dialect.RemoveSignature(an.header)
 	}
-	an.writeWhole(wr, status)
+	an.writeBuffered(wr, status)
 }
 
 // deliver passes an answer on.
 func (ro *Router) deliver(ctx context.Context, wr http.ResponseWriter, ca *call, an *answer) {
 	took := time.Since(ca.request.ReceivedAt)
 	ro.metrics.FirstToken.Record(ctx, took.Seconds())
-	outcome, pause := "answered", int64(0)
+	outcome, pauseMs := "answered", int64(0)
 	if an.stream == nil {
-		an.writeWhole(wr, an.status)
-	} else if whole, longest := ro.passStream(ctx, wr, ca, an); !whole {
-		outcome, pause = "cut", longest
+		an.writeBuffered(wr, an.status)
+	} else if complete, longestPauseMs := ro.relayStream(ctx, wr, ca, an); !complete {
+		outcome, pauseMs = "cut", longestPauseMs
 	} else {
-		pause = longest
+		pauseMs = longestPauseMs
 	}
 	ro.metrics.Requests.Add(ctx, 1, metric.With(metric.KeyOutcome, outcome))
 	ro.log.Request(event.RequestAnswered, event.Fields{
 		"request": ca.request.ID, "route": ca.route.ID, "status": an.status, "outcome": outcome, "model": ca.modelID(), "sends": ca.sends,
-		"first_ms": took.Milliseconds(), "pause_ms": pause, "whole_ms": time.Since(ca.request.ReceivedAt).Milliseconds(),
+		"first_ms": took.Milliseconds(), "pause_ms": pauseMs, "whole_ms": time.Since(ca.request.ReceivedAt).Milliseconds(),
 	})
 	ro.metrics.Latency.Record(ctx, time.Since(ca.request.ReceivedAt).Seconds())
 	if outcome == "cut" {
@@ -144,10 +144,10 @@
 	err error
 	// notRun tells that the attempt did not run the request.
 	notRun bool
-	// nowhere tells that there was no endpoint to send to.
-	nowhere bool
-	// callerMistake tells that every endpoint would answer so.
-	callerMistake bool
+	// noEndpoint tells that there was no endpoint to send to.
+	noEndpoint bool
+	// callerError tells that every endpoint would answer so.
+	callerError bool
 	// answer is the endpoint's own failure.
 	answer *answer
 }
--- a/relay/session.go
+++ b/relay/session.go
@@ -15,7 +15,7 @@
 // sessions remembers the release that each session ran on last, so that none
 // moves to and fro while a release is on trial.
 type sessions struct {
-	last *lru.Cache[sessionKey, seenSession]
+	last *lru.Cache[sessionKey, lastRequest]
 }
 
 // sessionKey names a session at a service: the releases of services differ.
@@ -24,39 +24,39 @@
 	session SessionID
 }
 
-// seenSession is a session's last request here.
-type seenSession struct {
+// lastRequest is a session's last request here.
+type lastRequest struct {
 	release policy.ReleaseID
 	at      time.Time
 }
 
 func newSessions() *sessions {
-	ca, err := lru.New[sessionKey, seenSession](maxSessions)
+	ca, err := lru.New[sessionKey, lastRequest](maxSessions)
 	if err != nil {
 		panic(err) // the size is a positive constant
 	}
 	return &sessions{last: ca}
 }
 
-// note records where a session's request goes.
-func (ss *sessions) note(now time.Time, key sessionKey, release policy.ReleaseID) {
-	ss.last.Add(key, seenSession{release: release, at: now})
+// record records where a session's request goes.
+func (ss *sessions) record(now time.Time, key sessionKey, release policy.ReleaseID) {
+	ss.last.Add(key, lastRequest{release: release, at: now})
 }
 
 // release gives what a session that goes on ran on last; false for a new one.
-func (ss *sessions) release(now time.Time, key sessionKey, keep time.Duration) (policy.ReleaseID, bool) {
-	se, ok := ss.last.Get(key)
-	if !ok || now.Sub(se.at) > keep {
+func (ss *sessions) release(now time.Time, key sessionKey, retention time.Duration) (policy.ReleaseID, bool) {
+	lr, ok := ss.last.Get(key)
+	if !ok || now.Sub(lr.at) > retention {
 		return "", false
 	}
-	return se.release, true
+	return lr.release, true
 }
 
-// recent visits a service's sessions seen after a time.
-func (ss *sessions) recent(service policy.ServiceID, after time.Time, visit func(id SessionID, se seenSession)) {
+// forEachSince visits a service's sessions seen after a time.
+func (ss *sessions) forEachSince(service policy.ServiceID, after time.Time, visit func(id SessionID, lr lastRequest)) {
 	for _, key := range ss.last.Keys() {
-		if se, ok := ss.last.Peek(key); ok && key.service == service && se.at.After(after) {
-			visit(key.session, se)
+		if lr, ok := ss.last.Peek(key); ok && key.service == service && lr.at.After(after) {
+			visit(key.session, lr)
 		}
 	}
 }
@@ -66,21 +66,21 @@
 
 func hashSession(id SessionID) sessionHash { return sessionHash(xxhash.Sum64String(string(id))) }
 
-// settled are sessions that a trial would take, but that run on the release in
+// settledSessions are sessions that a trial would take, but that run on the release in
 // use, with when each was last seen: here, or by word of another router.
-type settled map[sessionHash]time.Time
+type settledSessions map[sessionHash]time.Time
 
-// note records a session.
-func (sd settled) note(now time.Time, ha sessionHash) { sd[ha] = now }
+// record records a session.
+func (st settledSessions) record(now time.Time, ha sessionHash) { st[ha] = now }
 
-// has tells whether a session was seen after a time.
-func (sd settled) has(ha sessionHash, after time.Time) bool { return sd[ha].After(after) }
+// seenSince tells whether a session was seen after a time.
+func (st settledSessions) seenSince(ha sessionHash, after time.Time) bool { return st[ha].After(after) }
 
 // prune forgets the sessions not seen after a time.
-func (sd settled) prune(after time.Time) {
-	for ha, at := range sd {
+func (st settledSessions) prune(after time.Time) {
+	for ha, at := range st {
 		if !at.After(after) {
-			delete(sd, ha)
+			delete(st, ha)
 		}
 	}
 }
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -21,15 +21,15 @@
 const (
 	// maxEvent bounds one event.
 	maxEvent = 1 << 20
-	// callerWriteLimit is how long a caller may take to read an event.
-	callerWriteLimit = 10 * time.Second
-	readBuffer       = 4096
+	// callerWriteTimeout is how long a caller may take to read an event.
+	callerWriteTimeout = 10 * time.Second
+	readBuffer         = 4096
 	// resumePause lets the other endpoints of a crash show that they are gone
 	// too, before one of them is chosen.
 	resumePause = 40 * time.Millisecond
 )
 
-var errTorn = eris.New("stream ended within an event")
+var errTruncatedEvent = eris.New("stream ended within an event")
 
 // streamEvent is one event as it came.
 type streamEvent struct {
@@ -60,7 +60,7 @@
 			continue
 		}
 		if errors.Is(err, io.EOF) && len(ev.text) > 0 {
-			return streamEvent{}, errTorn
+			return streamEvent{}, errTruncatedEvent
 		}
 		if err != nil {
 			return streamEvent{}, err
@@ -78,51 +78,51 @@
 	}
 }
 
-// relayed is a stream on its way to the caller.
-type relayed struct {
-	router *Router
-	call   *call
-	wr     http.ResponseWriter
-	rc     *http.ResponseController
-	last   EventID
-	// wroteAt is when the caller last got an event, longest the longest pause
+// streamRelay is a stream on its way to the caller.
+type streamRelay struct {
+	router      *Router
+	call        *call
+	wr          http.ResponseWriter
+	rc          *http.ResponseController
+	lastEventID EventID
+	// lastWriteAt is when the caller last got an event, longest the longest pause
 	// between two, in milliseconds.
-	wroteAt time.Time
-	longest int64
+	lastWriteAt    time.Time
+	longestPauseMs int64
 }
 
-// passStream passes a stream on as it comes, resuming it elsewhere when its run
+// relayStream passes a stream on as it comes, resuming it elsewhere when its run
 // breaks. It tells whether it was completed, and the longest pause in
 // milliseconds.
-func (ro *Router) passStream(ctx context.Context, wr http.ResponseWriter, ca *call, an *answer) (whole bool, longest int64) {
-	st := &relayed{router: ro, call: ca, wr: wr, rc: http.NewResponseController(wr), last: ca.request.LastEventID}
+func (ro *Router) relayStream(ctx context.Context, wr http.ResponseWriter, ca *call, an *answer) (complete bool, longestMs int64) {
+	sr := &streamRelay{router: ro, call: ca, wr: wr, rc: http.NewResponseController(wr), lastEventID: ca.request.LastEventID}
 	copyHeader(wr.Header(), an.header)
 	wr.WriteHeader(an.status)
 	for {
-		err := st.pass(an)
+		err := sr.forward(an)
 		an.source.Close()
 		if err == nil {
 			an.finish(placement.Succeeded)
-			return true, st.longest
+			return true, sr.longestPauseMs
 		}
-		if an = st.resume(ctx, an, err); an == nil {
-			return false, st.longest
+		if an = sr.resume(ctx, an, err); an == nil {
+			return false, sr.longestPauseMs
 		}
 	}
 }
 
-// errCaller marks a caller that has gone.
-var errCaller = eris.New("the caller has gone")
+// errCallerGone marks a caller that has gone.
+var errCallerGone = eris.New("the caller has gone")
 
-// pass passes one run's events on, nil at the stream's end.
-func (st *relayed) pass(an *answer) error {
-	for ev := an.first; ; {
+// forward passes one run's events on, nil at the stream's end.
+func (sr *streamRelay) forward(an *answer) error {
+	for ev := an.firstEvent; ; {
 		if len(ev.text) == 0 {
 			return nil
 		}
-		if ev.id == 0 || ev.id > st.last {
-			if err := st.write(ev); err != nil {
-				return errors.Join(errCaller, err)
+		if ev.id == 0 || ev.id > sr.lastEventID {
+			if err := sr.write(ev); err != nil {
+				return errors.Join(errCallerGone, err)
 			}
 		}
 		var err error
@@ -132,47 +132,47 @@
 	}
 }
 
-func (st *relayed) write(ev streamEvent) error {
+func (sr *streamRelay) write(ev streamEvent) error {
 	now := time.Now()
-	if !st.wroteAt.IsZero() {
-		st.longest = max(st.longest, now.Sub(st.wroteAt).Milliseconds())
+	if !sr.lastWriteAt.IsZero() {
+		sr.longestPauseMs = max(sr.longestPauseMs, now.Sub(sr.lastWriteAt).Milliseconds())
 	}
-	st.wroteAt = now
-	if err := st.rc.SetWriteDeadline(now.Add(callerWriteLimit)); err != nil {
+	sr.lastWriteAt = now
+	if err := sr.rc.SetWriteDeadline(now.Add(callerWriteTimeout)); err != nil {
 		return err
 	}
-	if _, err := st.wr.Write(ev.text); err != nil {
+	if _, err := sr.wr.Write(ev.text); err != nil {
 		return err
 	}
-	st.last = max(st.last, ev.id)
-	return st.rc.Flush()
+	sr.lastEventID = max(sr.lastEventID, ev.id)
+	return sr.rc.Flush()
 }
 
 // resume goes on at another endpoint after the last event that the caller has;
 // nil when that is not possible.
-func (st *relayed) resume(ctx context.Context, an *answer, cause error) *answer {
-	ro, ca := st.router, st.call
-	if errors.Is(cause, errCaller) || errors.Is(ctx.Err(), context.Canceled) {
+func (sr *streamRelay) resume(ctx context.Context, an *answer, cause error) *answer {
+	ro, ca := sr.router, sr.call
+	if errors.Is(cause, errCallerGone) || errors.Is(ctx.Err(), context.Canceled) {
 		an.finish(placement.Neutral)
 		return nil
 	}
 	an.finish(placement.Failed)
-	ca.tried = append(ca.tried, an.endpoint.ID)
+	ca.failedEndpoints = append(ca.failedEndpoints, an.endpoint.ID)
 	ro.releases.observe(ca.service.ID, an.endpoint, rollout.Outcome{Failed: true})
-	for worker.Sleep(ctx, resumePause) && ca.route.Resumable && ro.mayRepeat(ctx, ca, &failure{err: cause}) {
-		next, fa := ro.attempt(ctx, ca, st.last)
+	for worker.Sleep(ctx, resumePause) && ca.route.Resumable && ro.mayRetry(ctx, ca, &failure{err: cause}) {
+		next, fa := ro.attempt(ctx, ca, sr.lastEventID)
 		if fa == nil && next.stream != nil {
-			ro.log.Request(event.StreamResumed, event.Fields{"request": ca.request.ID, "from": an.endpoint.ID, "to": next.endpoint.ID, "after_event": st.last, "cause": cause.Error()})
+			ro.log.Request(event.StreamResumed, event.Fields{"request": ca.request.ID, "from": an.endpoint.ID, "to": next.endpoint.ID, "after_event": sr.lastEventID, "cause": cause.Error()})
 			return next
 		}
 		if fa == nil {
-			next.drop()
+			next.discard()
 			return nil
 		}
-		if fa.nowhere {
+		if fa.noEndpoint {
 			return nil
 		}
 	}
-	ro.log.Trouble(event.StreamCut, cause, event.Fields{"request": ca.request.ID, "endpoint": an.endpoint.ID, "after_event": st.last, "sends": ca.sends})
+	ro.log.Trouble(event.StreamCut, cause, event.Fields{"request": ca.request.ID, "endpoint": an.endpoint.ID, "after_event": sr.lastEventID, "sends": ca.sends})
 	return nil
 }
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	// trialShare of the time a release is tried on a share of the sessions that
+	// trialEnd of the time a release is tried on a share of the sessions that
 	// does not change, so that no session moves to and fro.
-	trialShare = 0.52
-	// lastShare of the time is when the release in use is given up even though
+	trialEnd = 0.52
+	// forcedEnd of the time is when the release in use is given up even though
 	// requests still run on it.
-	lastShare = 0.88
-	// provingAnswers end a trial, and fewestAnswers do when time runs out.
-	provingAnswers = 30
-	fewestAnswers  = 5
-	// leastFailures and leastDeviations say when failures over all routers show
+	forcedEnd = 0.88
+	// sufficientAnswers end a trial, and fewestAnswers do when time runs out.
+	sufficientAnswers = 30
+	minAnswers        = 5
+	// minFailures and leastDeviations say when failures over all routers show
 	// that a release is worse.
-	leastFailures   = 6
-	leastDeviations = 3.5
+	minFailures   = 6
+	minDeviations = 3.5
 )
 
 // Plan is the course of a roll-out in time: a trial on a small share, then all
@@ -31,8 +31,8 @@
 	DeadlineAt time.Time
 }
 
-// at gives the time at a share of the plan.
-func (pl Plan) at(share float64) time.Time {
+// timeAt gives the time timeAt a share of the plan.
+func (pl Plan) timeAt(share float64) time.Time {
 	return pl.StartedAt.Add(time.Duration(share * float64(pl.DeadlineAt.Sub(pl.StartedAt))))
 }
 
@@ -43,26 +43,26 @@
 	switch {
 	case now.Before(pl.TrialAt):
 		return 0
-	case now.Before(pl.at(trialShare)) || answers < provingAnswers:
+	case now.Before(pl.timeAt(trialEnd)) || answers < sufficientAnswers:
 		return exposed
 	}
 	return 1
 }
 
-// fewEndpoints is how many endpoints of the release in use serve so little that
+// fullTrialEndpoints is how many endpoints of the release in use serve so little that
 // a trial needs its whole share of them.
-const fewEndpoints = 12
+const fullTrialEndpoints = 12
 
 // TrialShare gives the share of the sessions that a trial takes, from the most that
 // it may take and the endpoints of the release in use. Where many serve, a
 // smaller share brings answers enough, and fewer sessions are on their way
 // between routers that have not heard of them yet. It goes by powers of two,
 // so that routers with slightly different counts agree.
-func TrialShare(most float64, endpoints int) float64 {
-	for n := endpoints; n >= 2*fewEndpoints; n /= 2 {
-		most /= 2
+func TrialShare(maxShare float64, endpoints int) float64 {
+	for n := endpoints; n >= 2*fullTrialEndpoints; n /= 2 {
+		maxShare /= 2
 	}
-	return most
+	return maxShare
 }
 
 // Action is what is due in a roll-out.
@@ -99,7 +99,7 @@
 		return ActionAbort
 	case !pr.Started:
 		return ActionStart
-	case pr.completes(now):
+	case pr.readyToComplete(now):
 		return ActionComplete
 	case now.After(pr.DeadlineAt):
 		// Nobody has seen enough of it, and nobody waits for it any more.
@@ -108,18 +108,18 @@
 	return ActionNone
 }
 
-func (pr Progress) completes(now time.Time) bool {
+func (pr Progress) readyToComplete(now time.Time) bool {
 	// Requests admitted just before the move count at the next exchange.
-	const settle = 1500 * time.Millisecond
+	const exchangeDelay = 1500 * time.Millisecond
 	switch {
-	case now.Before(pr.at(trialShare).Add(settle)):
+	case now.Before(pr.timeAt(trialEnd).Add(exchangeDelay)):
 		return false
 	case now.After(pr.DeadlineAt):
-		return pr.Answers >= provingAnswers
-	case now.After(pr.at(lastShare)):
-		return pr.Answers >= fewestAnswers
+		return pr.Answers >= sufficientAnswers
+	case now.After(pr.timeAt(forcedEnd)):
+		return pr.Answers >= minAnswers
 	default:
-		return pr.Answers >= provingAnswers && pr.StableInFlight == 0
+		return pr.Answers >= sufficientAnswers && pr.StableInFlight == 0
 	}
 }
 
@@ -145,7 +145,7 @@
 // SignificantlyWorse tells whether failures are too many for chance, beside those of the
 // release in use.
 func (co Counts) SignificantlyWorse(stable Counts) bool {
-	if co.Failures < leastFailures {
+	if co.Failures < minFailures {
 		return false
 	}
 	const priorAnswers = 20
@@ -153,5 +153,5 @@
 	accepted := mean + failureMargin
 	expected := accepted * float64(co.Answers)
 	deviation := math.Sqrt(max(1, expected*(1-accepted)))
-	return float64(co.Failures) > expected+leastDeviations*deviation
+	return float64(co.Failures) > expected+minDeviations*deviation
 }
--- a/rollout/plan_test.go
+++ b/rollout/plan_test.go
@@ -66,28 +66,28 @@
 // release: its caches are cold, and one wait in twelve is given up, as with the
 // release in use under the same load. It was rolled back on versehall quiet-1.
 func TestLoadOnAGoodReleaseIsNoFailure(t *testing.T) {
-	var gu rollout.HealthTest
+	var ht rollout.HealthTest
 	for i := range 400 {
-		gu.Stable(rollout.Outcome{FirstToken: 1 + float64(i%5)/2, TimedOut: i%20 == 0})
+		ht.Stable(rollout.Outcome{FirstToken: 1 + float64(i%5)/2, TimedOut: i%20 == 0})
 	}
 	for i := range 300 {
 		ou := rollout.Outcome{FirstToken: 1 + float64(i%5)/2}
 		if i%12 == 0 {
 			ou = rollout.Outcome{TimedOut: true}
 		}
-		gu.Candidate(ou)
+		ht.Candidate(ou)
 	}
-	qt.Assert(t, gu.RejectionReason(), qt.Equals, "")
-	qt.Assert(t, gu.Failures, qt.Equals, int64(0))
+	qt.Assert(t, ht.RejectionReason(), qt.Equals, "")
+	qt.Assert(t, ht.Failures, qt.Equals, int64(0))
 }
 
 func TestReleaseThatHangsIsBad(t *testing.T) {
-	var gu rollout.HealthTest
+	var ht rollout.HealthTest
 	for range 100 {
-		gu.Stable(rollout.Outcome{FirstToken: 1})
+		ht.Stable(rollout.Outcome{FirstToken: 1})
 	}
 	for i := range 40 {
-		gu.Candidate(rollout.Outcome{FirstToken: 1, TimedOut: i%3 == 0})
+		ht.Candidate(rollout.Outcome{FirstToken: 1, TimedOut: i%3 == 0})
 	}
-	qt.Assert(t, gu.RejectionReason(), qt.Equals, "slow first token")
+	qt.Assert(t, ht.RejectionReason(), qt.Equals, "slow first token")
 }
--- a/rollout/test.go
+++ b/rollout/sequential.go
@@ -12,8 +12,8 @@
 	"tanagerpoint.example/tanager/policy"
 )
 
-// falseStop is the probability of stopping a good version, by one test.
-const falseStop = 0.003
+// alpha is the probability of stopping a good version, by one test.
+const alpha = 0.003
 
 // bets are the shares of the stake that the test mixes over.
 var bets = [...]float64{0.05, 0.15, 0.4, 0.8}
@@ -26,28 +26,28 @@
 
 // Observe adds a loss from 0 to 1; accepted is the largest mean loss of a good
 // version, between 0 and 1.
-func (te *SequentialTest) Observe(loss, accepted float64) {
+func (st *SequentialTest) Observe(loss, accepted float64) {
 	accepted = min(0.99, max(0.001, accepted))
 	for i, be := range bets {
-		te.logWealth[i] += math.Log1p(be / accepted * (loss - accepted))
+		st.logWealth[i] += math.Log1p(be / accepted * (loss - accepted))
 	}
 }
 
 // LogEvidence is the mean of the bets' wealth, as a logarithm.
-func (te *SequentialTest) LogEvidence() float64 {
-	top := te.logWealth[0]
-	for _, lw := range te.logWealth {
+func (st *SequentialTest) LogEvidence() float64 {
+	top := st.logWealth[0]
+	for _, lw := range st.logWealth {
 		top = max(top, lw)
 	}
 	sum := 0.0
-	for _, lw := range te.logWealth {
+	for _, lw := range st.logWealth {
 		sum += math.Exp(lw - top)
 	}
 	return top + math.Log(sum/float64(len(bets)))
 }
 
 // Rejects tells whether the candidate is bad.
-func (te *SequentialTest) Rejects() bool { return te.LogEvidence() > -math.Log(falseStop) }
+func (st *SequentialTest) Rejects() bool { return st.LogEvidence() > -math.Log(alpha) }
 
 // Baseline follows the losses of the version in use.
 type Baseline struct {
@@ -55,12 +55,12 @@
 	mean  float64
 }
 
-// window is how many of the last losses the baseline weighs.
-const window = 2000
+// baselineWindow is how many of the last losses the baseline weighs.
+const baselineWindow = 2000
 
 // Observe adds a loss.
 func (ba *Baseline) Observe(loss float64) {
-	ba.count = min(window, ba.count+1)
+	ba.count = min(baselineWindow, ba.count+1)
 	ba.mean += (loss - ba.mean) / ba.count
 }
 
@@ -97,53 +97,53 @@
 // HealthTest judges a candidate by what entries see at once: errors, silence and
 // slowness. It is not safe for concurrent use.
 type HealthTest struct {
-	failures     SequentialTest
-	slow         SequentialTest
-	baseFailures Baseline
-	baseSlow     Baseline
-	firstToken   float64
-	Answers      int64
-	Failures     int64
+	failures       SequentialTest
+	slow           SequentialTest
+	stableFailures Baseline
+	stableSlow     Baseline
+	meanFirstToken float64
+	Answers        int64
+	Failures       int64
 }
 
 // Stable adds an outcome of the version in use.
-func (gu *HealthTest) Stable(ou Outcome) {
-	gu.baseFailures.Observe(loss(ou.Failed))
+func (ht *HealthTest) Stable(ou Outcome) {
+	ht.stableFailures.Observe(loss(ou.Failed))
 	if ou.FirstToken > 0 || ou.TimedOut {
-		gu.baseSlow.Observe(loss(gu.isSlow(ou)))
+		ht.stableSlow.Observe(loss(ht.isSlow(ou)))
 	}
 	if ou.FirstToken <= 0 {
 		return
 	}
 	const smoothing = 0.02
-	if gu.firstToken == 0 {
-		gu.firstToken = ou.FirstToken
+	if ht.meanFirstToken == 0 {
+		ht.meanFirstToken = ou.FirstToken
 	}
-	gu.firstToken += smoothing * (ou.FirstToken - gu.firstToken)
+	ht.meanFirstToken += smoothing * (ou.FirstToken - ht.meanFirstToken)
 }
 
 // Candidate adds an outcome of the candidate.
-func (gu *HealthTest) Candidate(ou Outcome) {
-	gu.Answers++
+func (ht *HealthTest) Candidate(ou Outcome) {
+	ht.Answers++
 	if ou.Failed {
-		gu.Failures++
+		ht.Failures++
 	}
-	gu.failures.Observe(loss(ou.Failed), gu.baseFailures.AcceptedLoss(failurePrior, failureMargin))
-	if (ou.FirstToken > 0 || ou.TimedOut) && gu.firstToken > 0 {
-		gu.slow.Observe(loss(gu.isSlow(ou)), gu.baseSlow.AcceptedLoss(slowPrior, slowMargin))
+	ht.failures.Observe(loss(ou.Failed), ht.stableFailures.AcceptedLoss(failurePrior, failureMargin))
+	if (ou.FirstToken > 0 || ou.TimedOut) && ht.meanFirstToken > 0 {
+		ht.slow.Observe(loss(ht.isSlow(ou)), ht.stableSlow.AcceptedLoss(slowPrior, slowMargin))
 	}
 }
 
-func (gu *HealthTest) isSlow(ou Outcome) bool {
-	return ou.TimedOut || gu.firstToken > 0 && ou.FirstToken > slowFactor*gu.firstToken
+func (ht *HealthTest) isSlow(ou Outcome) bool {
+	return ou.TimedOut || ht.meanFirstToken > 0 && ou.FirstToken > slowFactor*ht.meanFirstToken
 }
 
 // RejectionReason gives why the candidate is bad, "" while it is not.
-func (gu *HealthTest) RejectionReason() string {
+func (ht *HealthTest) RejectionReason() string {
 	switch {
-	case gu.failures.Rejects():
+	case ht.failures.Rejects():
 		return "errors or silence"
-	case gu.slow.Rejects():
+	case ht.slow.Rejects():
 		return "slow first token"
 	}
 	return ""
@@ -177,8 +177,8 @@
 }
 
 // Stable adds a rating of the version in use.
-func (qu *QualityTest) Stable(quality float64) {
-	ba := &qu.base
+func (qt *QualityTest) Stable(quality float64) {
+	ba := &qt.base
 	ba.count++
 	delta := quality - ba.mean
 	ba.mean += delta / ba.count
@@ -186,24 +186,24 @@
 }
 
 // Candidate adds a rating of the candidate.
-func (qu *QualityTest) Candidate(quality float64) {
-	qu.Answers++
-	qu.test.Observe(1-quality, 1-qu.accepted())
+func (qt *QualityTest) Candidate(quality float64) {
+	qt.Answers++
+	qt.test.Observe(1-quality, 1-qt.acceptedQuality())
 }
 
-// accepted is the least mean quality of a good candidate.
-func (qu *QualityTest) accepted() float64 {
+// acceptedQuality is the least mean quality of a good candidate.
+func (qt *QualityTest) acceptedQuality() float64 {
 	const priorWeight = 5
-	mean := (qu.base.mean*qu.base.count + qu.expected*priorWeight) / (qu.base.count + priorWeight)
+	mean := (qt.base.mean*qt.base.count + qt.expected*priorWeight) / (qt.base.count + priorWeight)
 	spread := 0.1
-	if qu.base.count > 1 {
-		spread = math.Sqrt(qu.base.squares / (qu.base.count - 1))
+	if qt.base.count > 1 {
+		spread = math.Sqrt(qt.base.squares / (qt.base.count - 1))
 	}
-	return mean - qu.margin - 2*spread/math.Sqrt(qu.base.count+priorWeight)
+	return mean - qt.margin - 2*spread/math.Sqrt(qt.base.count+priorWeight)
 }
 
 // Rejects tells whether the candidate is worse than accepted.
-func (qu *QualityTest) Rejects() bool { return qu.test.Rejects() }
+func (qt *QualityTest) Rejects() bool { return qt.test.Rejects() }
 
 // NextShare gives the share after the one a roll-out is at; false when it is
 // at its last.
