--- a/cascade/escalation.go
+++ b/cascade/escalation.go
@@ -26,18 +26,18 @@
 	// Work is what the large model takes until its answer begins, in seconds of
 	// an idle endpoint.
 	Work float64
-	// Pressure is the work that waits at the mean endpoint, in seconds.
-	Pressure float64
+	// Backlog is the work that waits at the mean endpoint, in seconds.
+	Backlog float64
 	// TimeLeft is until the answer should begin, in seconds.
 	TimeLeft float64
 }
 
 // ShouldEscalate tells whether to start again at the largest model.
 func (es Escalation) ShouldEscalate() bool {
-	wait := es.Pressure + es.Work
+	wait := es.Backlog + es.Work
 	if wait >= es.TimeLeft {
 		return false
 	}
-	limit := idleThreshold - workWeight*es.Work - backlogWeight*es.Pressure*es.Pressure*es.Work - waitWeight*wait/es.TimeLeft
+	limit := idleThreshold - workWeight*es.Work - backlogWeight*es.Backlog*es.Backlog*es.Work - waitWeight*wait/es.TimeLeft
 	return es.Confidence < max(minThreshold, limit)
 }
--- a/cascade/escalation_test.go
+++ b/cascade/escalation_test.go
@@ -8,25 +8,25 @@
 	"tanagerpoint.example/tanager/cascade"
 )
 
-// TestPressureKeepsLongPromptsSmall replays a fleet that fills up: the same
+// TestBacklogKeepsLongPromptsOnSmallModel replays a fleet that fills up: the same
 // doubtful answer of a long prompt is given up while there is room, and kept
 // under pressure; that of a short prompt is given up for longer.
-func TestPressureKeepsLongPromptsSmall(t *testing.T) {
+func TestBacklogKeepsLongPromptsOnSmallModel(t *testing.T) {
 	long := cascade.Escalation{Confidence: 40, Work: 0.6, TimeLeft: 6}
 	short := cascade.Escalation{Confidence: 40, Work: 0.05, TimeLeft: 1}
 	qt.Assert(t, long.ShouldEscalate(), qt.IsTrue)
 	qt.Assert(t, short.ShouldEscalate(), qt.IsTrue)
-	long.Pressure, short.Pressure = 0.4, 0.4
+	long.Backlog, short.Backlog = 0.4, 0.4
 	qt.Assert(t, long.ShouldEscalate(), qt.IsFalse)
 	qt.Assert(t, short.ShouldEscalate(), qt.IsTrue)
 }
 
-func TestNothingIsGivenUpThatWouldComeLate(t *testing.T) {
-	es := cascade.Escalation{Confidence: 1, Work: 0.5, Pressure: 0.6, TimeLeft: 1}
+func TestNoEscalationBeyondTimeLeft(t *testing.T) {
+	es := cascade.Escalation{Confidence: 1, Work: 0.5, Backlog: 0.6, TimeLeft: 1}
 	qt.Assert(t, es.ShouldEscalate(), qt.IsFalse)
 }
 
-func TestConfidentAnswersAreKept(t *testing.T) {
+func TestConfidenceThreshold(t *testing.T) {
 	qt.Assert(t, cascade.Escalation{Confidence: 90, TimeLeft: 5}.ShouldEscalate(), qt.IsFalse)
 	qt.Assert(t, cascade.Escalation{Confidence: 10, Work: 0.1, TimeLeft: 5}.ShouldEscalate(), qt.IsTrue)
 }
--- a/relay/run.go
+++ b/relay/run.go
@@ -52,7 +52,7 @@
 	work, _ := ro.latencies.estimate(key, ca.request.promptTokens(), 0)
 	left := time.Until(ca.request.ReceivedAt.Add(ca.route.Target()))
 	es := cascade.Escalation{
-		Confidence: an.head.Confidence, Work: float64(work), Pressure: float64(ca.meanBacklog),
+		Confidence: an.head.Confidence, Work: float64(work), Backlog: float64(ca.meanBacklog),
 		TimeLeft: left.Seconds(),
 	}
 	if !es.ShouldEscalate() || !ro.budgets.take(time.Now(), ca.service.ID, escalationShare) {
--- a/rollout/plan_test.go
+++ b/rollout/plan_test.go
@@ -19,7 +19,7 @@
 	return start.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-func TestShareRisesOnlyAfterATrial(t *testing.T) {
+func TestShareRisesOnlyAfterTrial(t *testing.T) {
 	pl := plan()
 	qt.Assert(t, pl.Share(at(1), 0.1, 1000), qt.Equals, 0.0)
 	qt.Assert(t, pl.Share(at(3), 0.1, 1000), qt.Equals, 0.1)
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestCountsTellBadFromUnlucky(t *testing.T) {
+func TestSignificantlyWorse(t *testing.T) {
 	stable := rollout.Counts{Answers: 500, Failures: 70} // a service whose requests often fail
 	qt.Assert(t, rollout.Counts{Answers: 50, Failures: 10}.SignificantlyWorse(stable), qt.IsFalse)
 	qt.Assert(t, rollout.Counts{Answers: 50, Failures: 30}.SignificantlyWorse(stable), qt.IsTrue)
@@ -81,7 +81,7 @@
 	qt.Assert(t, ht.Failures, qt.Equals, int64(0))
 }
 
-func TestReleaseThatHangsIsBad(t *testing.T) {
+func TestHangingReleaseIsRejected(t *testing.T) {
 	var ht rollout.HealthTest
 	for range 100 {
 		ht.Stable(rollout.Outcome{FirstToken: 1})
