--- a/cascade/cascade.go
+++ b/cascade/cascade.go
@@ -1,12 +1,13 @@
-// Package cascade chooses, for each request, the model that holds the quality
-// target for the least cost.
+// Package cascade selects, for each request, the model that meets the quality
+// target at the lowest cost.
 //
-// The choice is an online linear program: minimise cost subject to mean quality
-// at the target. Its dual price of quality rises while the chosen models'
-// expected quality is below the target and falls while it is above (primal-dual
-// bandits with knapsacks, after Agrawal and Devanur, 2014). Expected quality is
-// learned by kind of work from ratings. Without ratings the estimates stand
-// still, and so does the mix of models.
+// The selection is an online linear program: minimise cost subject to a mean
+// quality at the target. Its dual price of quality rises while the expected
+// quality of the selected models is below the target and falls while it is above
+// (primal-dual bandits with knapsacks, after Agrawal and Devanur, 2014). Expected
+// quality is estimated from ratings for each kind of work. Without new ratings
+// the estimates do not change, and neither does the share of requests that each
+// model gets.
 package cascade
 
 import (
@@ -15,36 +16,39 @@
 	"tanagerpoint.example/tanager/policy"
 )
 
-// WorkKind is a kind of work, as callers name it.
+// WorkKind is a kind of work, as named by the caller.
 type WorkKind string
 
 const (
-	// priorWeight is how many ratings the record's own quality counts for.
+	// priorWeight is the number of ratings that the quality stated in the policy
+	// record counts for.
 	priorWeight = 4
-	// ratingWindow is how many of the last ratings an estimate weighs.
+	// ratingWindow is the number of most recent ratings that an estimate averages.
 	ratingWindow = 150
-	// priceStepSize is how fast the price of quality moves.
+	// priceStepSize is the step size of the price update.
 	priceStepSize = 0.25
 	maxPrice      = 200
-	// exploreShare of the requests try another model, to learn of drift.
+	// exploreShare is the share of requests sent to a random model, so that a
+	// change in any model's quality is noticed.
 	exploreShare = 0.02
-	// maxKinds bounds the kinds of work told apart.
+	// maxKinds is the maximum number of kinds of work with their own estimates.
 	maxKinds = 256
-	// targetMargin is added to the target, against errors of the estimates.
+	// targetMargin is added to the target to allow for errors of the estimates.
 	targetMargin = 0.002
 )
 
-// Arm is one model that may be chosen.
+// Arm is a model that can be selected.
 type Arm struct {
 	Model   policy.ModelID
 	Version policy.VersionID
 	// Cost is the expected cost of the answer.
 	Cost policy.MicroCredits
-	// Quality is what the record states, before any rating.
+	// Quality is the quality stated in the policy record, before any rating.
 	Quality float64
 }
 
-// estimate is a version's rated quality for one kind of work.
+// estimate is a version's mean rating for one kind of work. Its weight is the
+// number of ratings, up to ratingWindow.
 type estimate struct {
 	weight float64
 	mean   float64
@@ -55,7 +59,7 @@
 	version policy.VersionID
 }
 
-// Chooser decides for one cascade. It is not safe for concurrent use.
+// Chooser selects models for one cascade. It is not safe for concurrent use.
 type Chooser struct {
 	rng       *rand.Rand
 	price     float64
@@ -63,7 +67,8 @@
 	kinds     map[WorkKind]bool
 }
 
-// NewChooser gives a chooser that knows no ratings; seed drives its chances.
+// NewChooser returns a Chooser without ratings. seed initialises the random
+// numbers used for exploration.
 func NewChooser(seed uint64) *Chooser {
 	return &Chooser{
 		rng:       rand.New(rand.NewPCG(seed, 0)),
@@ -73,11 +78,12 @@
 	}
 }
 
-// Price gives the price of quality: how much of the dearest arm's cost one
-// unit of quality is worth.
+// Price returns the dual price of quality: the value of one unit of quality as a
+// multiple of the most expensive arm's cost.
 func (ch *Chooser) Price() float64 { return ch.price }
 
-// AddRating learns one rating, from 0 to 1.
+// AddRating adds a rating, from 0 to 1, to the estimate. It ignores ratings of
+// new kinds of work once there are maxKinds.
 func (ch *Chooser) AddRating(work WorkKind, version policy.VersionID, quality float64) {
 	if !ch.kinds[work] && len(ch.kinds) >= maxKinds {
 		return
@@ -89,25 +95,28 @@
 	ch.estimates[key{work, version}] = es
 }
 
-// SetEstimate replaces what is known of a version for a kind of work.
+// SetEstimate sets the estimate for a version and a kind of work.
 func (ch *Chooser) SetEstimate(work WorkKind, version policy.VersionID, weight, mean float64) {
 	ch.kinds[work] = true
 	ch.estimates[key{work, version}] = estimate{weight: weight, mean: mean}
 }
 
-// Estimate gives what is known of a version for a kind of work.
+// Estimate returns the weight and the mean rating for a version and a kind of
+// work; both are 0 without ratings.
 func (ch *Chooser) Estimate(work WorkKind, version policy.VersionID) (weight, mean float64) {
 	es := ch.estimates[key{work, version}]
 	return es.weight, es.mean
 }
 
-// Quality gives the expected quality of an arm.
+// Quality returns the expected quality of an arm: its mean rating, combined with
+// the quality stated in the policy record.
 func (ch *Chooser) Quality(work WorkKind, ar Arm) float64 {
 	es := ch.estimates[key{work, ar.Version}]
 	return (es.mean*es.weight + ar.Quality*priorWeight) / (es.weight + priorWeight)
 }
 
-// Choice is a decision and why.
+// Choice is the selected arm, with the values that led to it. Quality is the
+// expected quality of the best arm, also when another was explored.
 type Choice struct {
 	Index    int
 	Explored bool
@@ -115,7 +124,7 @@
 	Price    float64
 }
 
-// Choose picks among arms for one request, and moves the price of quality.
+// Choose selects an arm for one request and updates the price of quality.
 func (ch *Chooser) Choose(work WorkKind, arms []Arm, target float64) Choice {
 	best := ch.bestArm(work, arms)
 	quality := ch.Quality(work, arms[best])
@@ -126,7 +135,8 @@
 	return Choice{Index: best, Quality: quality, Price: ch.price}
 }
 
-// bestArm weighs quality at its price against cost, relative to the dearest arm.
+// bestArm returns the index of the arm with the highest value: its quality times
+// the price, less its cost relative to the most expensive arm.
 func (ch *Chooser) bestArm(work WorkKind, arms []Arm) int {
 	maxCost := 1.0
 	for _, ar := range arms {
--- a/cascade/escalation.go
+++ b/cascade/escalation.go
@@ -1,38 +1,42 @@
 package cascade
 
 const (
-	// idleThreshold is the confidence, from 0 to 100, below which an answer is
-	// given up at an idle fleet.
+	// idleThreshold is the confidence, from 0 to 100, below which a small model's
+	// answer is discarded when all endpoints are idle.
 	idleThreshold = 85
-	// minThreshold is always low enough, while there is time.
+	// minThreshold is the lowest threshold: an answer with less confidence is
+	// discarded at any load, if there is time left.
 	minThreshold = 12
-	// workWeight is the confidence that a second of work is worth, and
-	// pressureWeight that of a second that waits at every endpoint, for each
-	// second of work.
+	// workWeight is how far each second of work lowers the threshold.
+	// backlogWeight is how far it is lowered for each second of work times the
+	// square of the backlog in seconds.
 	workWeight    = 50
 	backlogWeight = 600
-	// waitWeight is the confidence that using up the whole time left is worth.
+	// waitWeight is how far the threshold is lowered when the expected wait uses
+	// all the time left.
 	waitWeight = 20
 )
 
-// Escalation decides what becomes of an answer that a small model has begun, before
-// the caller has any of it. It answers the load in which most requests are easy
-// and the large model takes many times the time: a start at the small model
-// costs little, and says which requests are worth more. Under pressure long
-// prompts stay at the small model first, since they hold up everyone.
+// Escalation is the input to the decision whether to discard an answer that a
+// small model has begun, before any of it has reached the caller, and to run the
+// request on the largest model instead. It is designed for loads in which most
+// requests are easy and the large model takes many times as long: starting with
+// the small model costs little and shows which requests need the large one.
+// As the backlog grows, long prompts are the first to stay on the small model,
+// because they delay all other requests.
 type Escalation struct {
-	// Confidence is the small model's opinion of its answer, from 0 to 100.
+	// Confidence is the small model's own rating of its answer, from 0 to 100.
 	Confidence float64
-	// Work is what the large model takes until its answer begins, in seconds of
-	// an idle endpoint.
+	// Work is the time that the large model takes on an idle endpoint until its
+	// answer begins, in seconds.
 	Work float64
-	// Backlog is the work that waits at the mean endpoint, in seconds.
+	// Backlog is the mean work queued at an endpoint, in seconds.
 	Backlog float64
-	// TimeLeft is until the answer should begin, in seconds.
+	// TimeLeft is the time until the answer should begin, in seconds.
 	TimeLeft float64
 }
 
-// ShouldEscalate tells whether to start again at the largest model.
+// ShouldEscalate reports whether to run the request again on the largest model.
 func (es Escalation) ShouldEscalate() bool {
 	wait := es.Backlog + es.Work
 	if wait >= es.TimeLeft {
--- a/cascade/escalation_test.go
+++ b/cascade/escalation_test.go
@@ -8,9 +8,10 @@
 	"tanagerpoint.example/tanager/cascade"
 )
 
-// TestBacklogKeepsLongPromptsOnSmallModel replays a fleet that fills up: the same
-// doubtful answer of a long prompt is given up while there is room, and kept
-// under pressure; that of a short prompt is given up for longer.
+// TestBacklogKeepsLongPromptsOnSmallModel checks that a growing backlog stops
+// escalation of long prompts before that of short ones: at an equally low
+// confidence both escalate on idle endpoints, but only the short one at a backlog
+// of 0.4 s.
 func TestBacklogKeepsLongPromptsOnSmallModel(t *testing.T) {
 	long := cascade.Escalation{Confidence: 40, Work: 0.6, TimeLeft: 6}
 	short := cascade.Escalation{Confidence: 40, Work: 0.05, TimeLeft: 1}
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -6,39 +6,44 @@
 )
 
 const (
-	// trialEnd of the time a release is tried on a share of the sessions that
-	// does not change, so that no session moves to and fro.
+	// trialEnd is the fraction of the roll-out's duration at which the trial ends
+	// at the earliest. The share of sessions on trial stays constant until then, so
+	// that no session switches between releases.
 	trialEnd = 0.52
-	// forcedEnd of the time is when the release in use is given up even though
-	// requests still run on it.
+	// forcedEnd is the fraction of the duration after which the release in use is
+	// stopped even if requests still run on it.
 	forcedEnd = 0.88
-	// sufficientAnswers end a trial, and fewestAnswers do when time runs out.
+	// sufficientAnswers is the number of answers that ends a trial; minAnswers is
+	// the number that is enough to complete between forcedEnd and the deadline.
 	sufficientAnswers = 30
 	minAnswers        = 5
-	// minFailures and leastDeviations say when failures over all routers show
-	// that a release is worse.
+	// minFailures is the number of failures, and minDeviations the number of
+	// standard deviations above the expected count, from which the failures
+	// summed over all routers show that a release is worse.
 	minFailures   = 6
 	minDeviations = 3.5
 )
 
-// Plan is the course of a roll-out in time: a trial on a small share, then all
-// requests, then the end of the release in use once nothing runs on it.
+// Plan is the schedule of a roll-out: a trial on a small share of the sessions,
+// then all requests, then the stop of the release in use once no request runs on
+// it.
 type Plan struct {
 	StartedAt time.Time
-	// TrialAt is when the trial begins: by then every entry knows the sessions
-	// that go on with the release in use.
+	// TrialAt is the start of the trial, late enough for every router to know the
+	// sessions that stay on the release in use.
 	TrialAt    time.Time
 	DeadlineAt time.Time
 }
 
-// timeAt gives the time timeAt a share of the plan.
+// timeAt returns the time at a fraction of the roll-out's duration.
 func (pl Plan) timeAt(share float64) time.Time {
 	return pl.StartedAt.Add(time.Duration(share * float64(pl.DeadlineAt.Sub(pl.StartedAt))))
 }
 
-// Share gives the share of sessions for the new release; exposed is that of
-// the trial. Time alone proves nothing: the trial lasts until enough answers
-// have been seen, also by routers that have all started anew.
+// Share returns the share of sessions, from 0 to 1, that the new release gets;
+// exposed is the share during the trial. The trial lasts until there are enough
+// answers, however long that takes: elapsed time does not show that a release is
+// good, and routers that have all restarted have no answers yet.
 func (pl Plan) Share(now time.Time, exposed float64, answers int64) float64 {
 	switch {
 	case now.Before(pl.TrialAt):
@@ -49,15 +54,16 @@
 	return 1
 }
 
-// fullTrialEndpoints is how many endpoints of the release in use serve so little that
-// a trial needs its whole share of them.
+// fullTrialEndpoints is the number of endpoints that produce enough answers for
+// a trial at the full share. The share is halved from twice this number on.
 const fullTrialEndpoints = 12
 
-// TrialShare gives the share of the sessions that a trial takes, from the most that
-// it may take and the endpoints of the release in use. Where many serve, a
-// smaller share brings answers enough, and fewer sessions are on their way
-// between routers that have not heard of them yet. It goes by powers of two,
-// so that routers with slightly different counts agree.
+// TrialShare returns the share of sessions for a trial, given the maximum share
+// and the number of endpoints of the release in use. With many endpoints a
+// smaller share yields enough answers, and fewer sessions move to routers that
+// have not yet learned which release they are on. The share is halved for each
+// doubling of the endpoints, so that routers with slightly different counts use
+// the same share.
 func TrialShare(maxShare float64, endpoints int) float64 {
 	for n := endpoints; n >= 2*fullTrialEndpoints; n /= 2 {
 		maxShare /= 2
@@ -65,34 +71,35 @@
 	return maxShare
 }
 
-// Action is what is due in a roll-out.
+// Action is the next step of a roll-out.
 type Action int
 
-// The actions.
+// The possible actions.
 const (
 	ActionNone Action = iota
-	// ActionStart notes when the roll-out was taken up.
+	// ActionStart records the start time.
 	ActionStart
-	// ActionAbort gives the new release up.
+	// ActionAbort rejects the new release.
 	ActionAbort
 	// ActionComplete stops the release in use.
 	ActionComplete
 )
 
-// Progress is what is known of a roll-out over all entries.
+// Progress is the state of a roll-out, summed over all routers.
 type Progress struct {
 	Plan
-	// Started tells whether the time of its start is noted.
+	// Started reports whether the start time has been recorded.
 	Started bool
-	// RejectionReason is why the release is bad, "" while it is not known to be.
+	// RejectionReason says why the release is bad; it is "" for one not known to be
+	// bad.
 	RejectionReason string
-	// Answers are the new release's.
+	// Answers is the number of answers of the new release.
 	Answers int64
-	// StableInFlight are the requests that still run on the release in use.
+	// StableInFlight is the number of requests still running on the release in use.
 	StableInFlight int64
 }
 
-// Next gives the action that is due.
+// Next returns the action that is due.
 func (pr Progress) Next(now time.Time) Action {
 	switch {
 	case pr.RejectionReason != "":
@@ -102,14 +109,16 @@
 	case pr.readyToComplete(now):
 		return ActionComplete
 	case now.After(pr.DeadlineAt):
-		// Nobody has seen enough of it, and nobody waits for it any more.
+		// There were too few answers by the deadline, after which nobody waits
+		// for the roll-out any more.
 		return ActionAbort
 	}
 	return ActionNone
 }
 
 func (pr Progress) readyToComplete(now time.Time) bool {
-	// Requests admitted just before the move count at the next exchange.
+	// Requests admitted to the release in use just before the trial ended are
+	// counted only after the routers' next exchange.
 	const exchangeDelay = 1500 * time.Millisecond
 	switch {
 	case now.Before(pr.timeAt(trialEnd).Add(exchangeDelay)):
@@ -123,13 +132,14 @@
 	}
 }
 
-// Counts are a release's answers and failures.
+// Counts holds the numbers of a release's answers and failures. Answers
+// includes the failures.
 type Counts struct {
 	Answers  int64
 	Failures int64
 }
 
-// Observe adds an outcome.
+// Observe counts an outcome.
 func (co *Counts) Observe(ou Outcome) {
 	co.Answers++
 	if ou.Failed {
@@ -137,13 +147,13 @@
 	}
 }
 
-// Add adds up.
+// Add returns the sum of both counts.
 func (co Counts) Add(other Counts) Counts {
 	return Counts{Answers: co.Answers + other.Answers, Failures: co.Failures + other.Failures}
 }
 
-// SignificantlyWorse tells whether failures are too many for chance, beside those of the
-// release in use.
+// SignificantlyWorse reports whether there are more failures than chance
+// explains, given those of the release in use.
 func (co Counts) SignificantlyWorse(stable Counts) bool {
 	if co.Failures < minFailures {
 		return false
--- a/rollout/plan_test.go
+++ b/rollout/plan_test.go
@@ -25,7 +25,8 @@
 	qt.Assert(t, pl.Share(at(3), 0.1, 1000), qt.Equals, 0.1)
 	qt.Assert(t, pl.Share(at(12), 0.1, 1000), qt.Equals, 0.1)
 	qt.Assert(t, pl.Share(at(13), 0.1, 1000), qt.Equals, 1.0)
-	// A router that has just started has seen nothing: time alone proves nothing.
+	// A router that has just started has seen hardly any answers: elapsed time
+	// alone must not end the trial.
 	qt.Assert(t, pl.Share(at(23), 0.1, 3), qt.Equals, 0.1)
 }
 
@@ -36,18 +37,18 @@
 		pr   rollout.Progress
 		want rollout.Action
 	}{
-		{"not noted yet", 1, rollout.Progress{}, rollout.ActionStart},
+		{"start not recorded", 1, rollout.Progress{}, rollout.ActionStart},
 		{"on trial", 5, rollout.Progress{Started: true, Answers: 100}, rollout.ActionNone},
 		{"bad", 5, rollout.Progress{Started: true, RejectionReason: "errors", Answers: 9}, rollout.ActionAbort},
-		{"bad before it was noted", 1, rollout.Progress{RejectionReason: "errors"}, rollout.ActionAbort},
-		{"requests just moved", 13, rollout.Progress{Started: true, Answers: 100}, rollout.ActionNone},
-		{"old release still serves", 16, rollout.Progress{Started: true, Answers: 100, StableInFlight: 1}, rollout.ActionNone},
-		{"proved", 16, rollout.Progress{Started: true, Answers: 100}, rollout.ActionComplete},
+		{"bad before the start was recorded", 1, rollout.Progress{RejectionReason: "errors"}, rollout.ActionAbort},
+		{"trial has just ended", 13, rollout.Progress{Started: true, Answers: 100}, rollout.ActionNone},
+		{"old release has requests in flight", 16, rollout.Progress{Started: true, Answers: 100, StableInFlight: 1}, rollout.ActionNone},
+		{"enough answers", 16, rollout.Progress{Started: true, Answers: 100}, rollout.ActionComplete},
 		{"too few answers", 16, rollout.Progress{Started: true, Answers: 10}, rollout.ActionNone},
-		{"time runs out", 22, rollout.Progress{Started: true, Answers: 10, StableInFlight: 3}, rollout.ActionComplete},
-		{"nothing seen", 22, rollout.Progress{Started: true, Answers: 1}, rollout.ActionNone},
-		{"nobody proved it", 25, rollout.Progress{Started: true, Answers: 1}, rollout.ActionAbort},
-		{"proved, but the store was away", 25, rollout.Progress{Started: true, Answers: 100}, rollout.ActionComplete},
+		{"few answers after the forced end", 22, rollout.Progress{Started: true, Answers: 10, StableInFlight: 3}, rollout.ActionComplete},
+		{"too few answers after the forced end", 22, rollout.Progress{Started: true, Answers: 1}, rollout.ActionNone},
+		{"too few answers at the deadline", 25, rollout.Progress{Started: true, Answers: 1}, rollout.ActionAbort},
+		{"enough answers, but no store until the deadline", 25, rollout.Progress{Started: true, Answers: 100}, rollout.ActionComplete},
 	} {
 		tc.pr.Plan = plan()
 		qt.Check(t, tc.pr.Next(at(tc.now)), qt.Equals, tc.want, qt.Commentf("%s", tc.name))
@@ -55,16 +56,18 @@
 }
 
 func TestSignificantlyWorse(t *testing.T) {
-	stable := rollout.Counts{Answers: 500, Failures: 70} // a service whose requests often fail
+	stable := rollout.Counts{Answers: 500, Failures: 70} // a service with a high failure rate
 	qt.Assert(t, rollout.Counts{Answers: 50, Failures: 10}.SignificantlyWorse(stable), qt.IsFalse)
 	qt.Assert(t, rollout.Counts{Answers: 50, Failures: 30}.SignificantlyWorse(stable), qt.IsTrue)
 	qt.Assert(t, rollout.Counts{Answers: 5, Failures: 5}.SignificantlyWorse(rollout.Counts{Answers: 500}), qt.IsFalse)
 	qt.Assert(t, rollout.Counts{Answers: 20, Failures: 6}.SignificantlyWorse(rollout.Counts{Answers: 500}), qt.IsTrue)
 }
 
-// TestLoadOnAGoodReleaseIsNoFailure replays the move of all requests to a good
-// release: its caches are cold, and one wait in twelve is given up, as with the
-// release in use under the same load. It was rolled back on versehall quiet-1.
+// TestLoadOnAGoodReleaseIsNoFailure guards against rolling back a good release
+// because of time-outs under load, as happened on versehall quiet-1. When all
+// requests move to the new release, its caches are cold and one request in twelve
+// times out waiting for the first token; the release in use has similar time-outs
+// under the same load. Time-outs must not count as failures.
 func TestLoadOnAGoodReleaseIsNoFailure(t *testing.T) {
 	var ht rollout.HealthTest
 	for i := range 400 {
--- a/rollout/sequential.go
+++ b/rollout/sequential.go
@@ -1,9 +1,11 @@
-// Package rollout judges a candidate version against the one in use.
+// Package rollout decides whether a candidate version is worse than the one in
+// use.
 //
-// A Test is a sequential test by betting (Waudby-Smith and Ramdas, 2024): for
-// losses from 0 to 1 whose mean is at most the accepted one, its value rarely
-// grows, and exceeds 1/alpha at any time with probability alpha at most. It may
-// be looked at after every answer, and so stops a bad version early.
+// A SequentialTest is a sequential test by betting (Waudby-Smith and Ramdas,
+// 2024). For losses from 0 to 1 whose mean is at most the accepted one, the
+// probability that the wealth of the bets ever exceeds 1/alpha is at most alpha.
+// The test can therefore be evaluated after every answer and stops a bad version
+// early.
 package rollout
 
 import (
@@ -12,20 +14,21 @@
 	"tanagerpoint.example/tanager/policy"
 )
 
-// alpha is the probability of stopping a good version, by one test.
+// alpha is the maximum probability that one test rejects a good version.
 const alpha = 0.003
 
-// bets are the shares of the stake that the test mixes over.
+// bets are the fractions of the wealth that are staked; the test averages over
+// them.
 var bets = [...]float64{0.05, 0.15, 0.4, 0.8}
 
 // SequentialTest accumulates evidence that a mean loss is above the accepted one.
 type SequentialTest struct {
-	// logWealth holds the logarithm of what each bet has come to.
+	// logWealth is the logarithm of the wealth of each bet.
 	logWealth [len(bets)]float64
 }
 
-// Observe adds a loss from 0 to 1; accepted is the largest mean loss of a good
-// version, between 0 and 1.
+// Observe adds a loss from 0 to 1. accepted is the largest mean loss of a good
+// version; it is limited to the range from 0.001 to 0.99.
 func (st *SequentialTest) Observe(loss, accepted float64) {
 	accepted = min(0.99, max(0.001, accepted))
 	for i, be := range bets {
@@ -33,7 +36,7 @@
 	}
 }
 
-// LogEvidence is the mean of the bets' wealth, as a logarithm.
+// LogEvidence returns the logarithm of the mean wealth over all bets.
 func (st *SequentialTest) LogEvidence() float64 {
 	top := st.logWealth[0]
 	for _, lw := range st.logWealth {
@@ -46,27 +49,27 @@
 	return top + math.Log(sum/float64(len(bets)))
 }
 
-// Rejects tells whether the candidate is bad.
+// Rejects reports whether the candidate is bad.
 func (st *SequentialTest) Rejects() bool { return st.LogEvidence() > -math.Log(alpha) }
 
-// Baseline follows the losses of the version in use.
+// Baseline estimates the mean loss of the version in use.
 type Baseline struct {
 	count float64
 	mean  float64
 }
 
-// baselineWindow is how many of the last losses the baseline weighs.
+// baselineWindow is the number of most recent losses that the baseline averages.
 const baselineWindow = 2000
 
-// Observe adds a loss.
+// Observe adds a loss from 0 to 1.
 func (ba *Baseline) Observe(loss float64) {
 	ba.count = min(baselineWindow, ba.count+1)
 	ba.mean += (loss - ba.mean) / ba.count
 }
 
-// AcceptedLoss is the largest mean loss that a good candidate may have: the
-// baseline's, what chance adds to it, and a margin. prior is the mean before
-// any loss was seen.
+// AcceptedLoss returns the largest mean loss of a good candidate: the baseline's
+// mean, two standard errors and a margin. prior is the mean assumed before any
+// loss is observed.
 func (ba *Baseline) AcceptedLoss(prior, margin float64) float64 {
 	const priorWeight = 20
 	mean := (ba.mean*ba.count + prior*priorWeight) / (ba.count + priorWeight)
@@ -79,23 +82,24 @@
 	failureMargin = 0.01
 	slowPrior     = 0.05
 	slowMargin    = 0.05
-	// slowFactor times the version in use's mean first token is slow.
+	// slowFactor is the multiple of the mean time to first token of the version
+	// in use above which an answer is slow.
 	slowFactor = 3
 )
 
-// Outcome is what one answer shows at the entry.
+// Outcome is the result of one attempt, as seen by the entry or router.
 type Outcome struct {
 	Failed bool
-	// FirstToken is the seconds to the first token, or their ratio to what was
-	// expected; 0 when unknown.
+	// FirstToken is the time to the first token in seconds, or its ratio to the
+	// expected time; it is 0 when unknown.
 	FirstToken float64
-	// TimedOut tells that the wait for the first token was given up. Under load
-	// that happens to good versions too: it counts as slow, not as a failure.
+	// TimedOut reports whether the wait for the first token timed out. This happens
+	// to good versions under load too, so it counts as slow, not as a failure.
 	TimedOut bool
 }
 
-// HealthTest judges a candidate by what entries see at once: errors, silence and
-// slowness. It is not safe for concurrent use.
+// HealthTest rejects a candidate by errors, silence and slow first tokens, which
+// are visible at once. It is not safe for concurrent use.
 type HealthTest struct {
 	failures       SequentialTest
 	slow           SequentialTest
@@ -138,7 +142,8 @@
 	return ou.TimedOut || ht.meanFirstToken > 0 && ou.FirstToken > slowFactor*ht.meanFirstToken
 }
 
-// RejectionReason gives why the candidate is bad, "" while it is not.
+// RejectionReason says why the candidate is bad; it returns "" while it is not
+// rejected.
 func (ht *HealthTest) RejectionReason() string {
 	switch {
 	case ht.failures.Rejects():
@@ -156,7 +161,7 @@
 	return 0
 }
 
-// QualityTest judges a candidate by ratings. It is not safe for concurrent use.
+// QualityTest rejects a candidate by ratings. It is not safe for concurrent use.
 type QualityTest struct {
 	test     SequentialTest
 	base     QualityBaseline
@@ -165,18 +170,20 @@
 	expected float64
 }
 
-// QualityBaseline follows the ratings of the version in use.
+// QualityBaseline accumulates the mean and variance of the ratings of the version
+// in use.
 type QualityBaseline struct {
 	count, mean, squares float64
 }
 
-// NewQualityTest gives a judge; expected is the quality that the record states for
-// the version in use, margin the loss of quality that is accepted.
+// NewQualityTest returns a test without ratings. expected is the quality that the
+// policy record states for the version in use; margin is the accepted loss of
+// quality.
 func NewQualityTest(expected, margin float64) *QualityTest {
 	return &QualityTest{expected: expected, margin: margin}
 }
 
-// Stable adds a rating of the version in use.
+// Stable adds a rating, from 0 to 1, of the version in use.
 func (qt *QualityTest) Stable(quality float64) {
 	ba := &qt.base
 	ba.count++
@@ -185,13 +192,14 @@
 	ba.squares += delta * (quality - ba.mean)
 }
 
-// Candidate adds a rating of the candidate.
+// Candidate adds a rating, from 0 to 1, of the candidate.
 func (qt *QualityTest) Candidate(quality float64) {
 	qt.Answers++
 	qt.test.Observe(1-quality, 1-qt.acceptedQuality())
 }
 
-// acceptedQuality is the least mean quality of a good candidate.
+// acceptedQuality returns the lowest mean quality of a good candidate: the
+// baseline's mean, less the margin and two standard errors.
 func (qt *QualityTest) acceptedQuality() float64 {
 	const priorWeight = 5
 	mean := (qt.base.mean*qt.base.count + qt.expected*priorWeight) / (qt.base.count + priorWeight)
@@ -202,11 +210,11 @@
 	return mean - qt.margin - 2*spread/math.Sqrt(qt.base.count+priorWeight)
 }
 
-// Rejects tells whether the candidate is worse than accepted.
+// Rejects reports whether the candidate is worse than accepted.
 func (qt *QualityTest) Rejects() bool { return qt.test.Rejects() }
 
-// NextShare gives the share after the one a roll-out is at; false when it is
-// at its last.
+// NextShare returns the share of the step after the roll-out's current one. It
+// returns the current share and false at the last step.
 func NextShare(ro policy.Rollout) (float64, bool) {
 	for _, st := range ro.Steps {
 		if st > ro.Share {
--- a/rollout/trial_share_test.go
+++ b/rollout/trial_share_test.go
@@ -8,9 +8,10 @@
 	"tanagerpoint.example/tanager/rollout"
 )
 
-// TestTrialTakesFewerSessionsOfManyEndpoints replays PINNED on both grown sites:
-// at a tenth of the sessions of 112 endpoints, six to fifteen went on at routers
-// that had not heard of them; more than three are too many.
+// TestTrialTakesFewerSessionsOfManyEndpoints guards against sessions that switch
+// releases as a trial begins. At 112 endpoints and a trial share of a tenth, 6 to
+// 15 sessions went on at routers that did not yet know which release they were
+// on; the PINNED rule allows at most three. It was seen on both grown sites.
 func TestTrialTakesFewerSessionsOfManyEndpoints(t *testing.T) {
 	const maxShare = 0.1
 	for _, tt := range []struct {
