--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -21,56 +21,62 @@
 )
 
 const (
-	// maxBufferedBody bounds an answer that is held until it is complete.
+	// maxBufferedBody is the maximum size in bytes of an answer that is buffered
+	// until it is complete.
 	maxBufferedBody = 8 << 20
-	// eventStreamType is the media type of an answer in events.
+	// eventStreamType is the media type of an answer that is a stream of events.
 	eventStreamType = "text/event-stream"
-	// streamWaitFactor times the target is how long a first event may take before
-	// another endpoint is tried, and plainPatience the same for whole answers.
+	// streamWaitFactor is the multiple of the route's target that the first event
+	// of a stream may take before another endpoint is tried;
+	// bufferedWaitFactor is the same for a buffered answer.
 	streamWaitFactor   = 0.75
 	bufferedWaitFactor = 2.0
-	// minWaitFactor times the expected time is never too long.
+	// minWaitFactor is the multiple of the estimated wait that an endpoint is
+	// always given.
 	minWaitFactor = 4
-	// eventGapFactor times the longest pause in time is a silence that ends a run.
+	// eventGapFactor is the multiple of the route's target for the gap between
+	// events after which a silent stream counts as broken.
 	eventGapFactor = 1.25
-	// defaultEventGap stands for routes that set no pause.
+	// defaultEventGap is the limit for routes without a target for the gap.
 	defaultEventGap = 2 * time.Second
 )
 
 var (
 	errWrongRequest    = eris.New("answer belongs to another request")
-	errUnsigned        = eris.New("answer does not come from the service")
-	errContentEncoding = eris.New("answer is encoded, which nobody asked for")
+	errUnsigned        = eris.New("answer is not signed by the service")
+	errContentEncoding = eris.New("answer has a content encoding that was not requested")
 	errNotRun          = eris.New("endpoint did not run the request")
-	errFailureStatus   = eris.New("endpoint answered with a failure")
+	errFailureStatus   = eris.New("endpoint answered with an error status")
 )
 
-// attempt is one sending of a request to one endpoint.
+// attempt is one send of a request to one endpoint.
 type attempt struct {
 	router    *Router
 	call      *call
 	placement placement.Placed
 	endpoint  policy.Endpoint
 	sentAt    time.Time
-	// finished tells that the attempt is counted.
+	// finished reports whether the result has been recorded.
 	finished bool
 }
 
-// answer is an answer that has begun.
+// answer is an answer that has begun to arrive.
 type answer struct {
 	*attempt
 	head   AnswerHead
 	status int
 	header http.Header
 	body   []byte
-	// stream is set for answers in events, with the first read already.
+	// stream is nil for buffered answers. firstEvent has already been read from
+	// it.
 	stream     *eventReader
 	firstEvent streamEvent
 	source     *endpoint.CarriedAnswer
 }
 
-// attempt sends a request to one endpoint, and waits until the answer is whole
-// or its first event has come. after is the last event that the caller has.
+// attempt sends a request to one endpoint. It blocks until the answer is complete
+// or, for a stream, its first event has arrived. after is the last event that the
+// caller has received.
 func (ro *Router) attempt(ctx context.Context, ca *call, after EventID) (*answer, *failure) {
 	at, fa := ro.chooseEndpoint(ca)
 	if fa != nil {
@@ -100,15 +106,15 @@
 		pl, ok = ro.balancer.Choose(now, fallback, jo, ca.failedEndpoints, usable)
 	}
 	if !ok {
-		return nil, &failure{err: eris.New("no endpoint may be used"), notRun: true, noEndpoint: true}
+		return nil, &failure{err: eris.New("no endpoint is available"), notRun: true, noEndpoint: true}
 	}
 	ro.releases.recordSend(now, ca, pl.Endpoint)
 	return &attempt{router: ro, call: ca, placement: pl, endpoint: pl.Endpoint, sentAt: now}, nil
 }
 
-// meanBacklog is the work that waits at the mean endpoint. Where the routers are
-// too many to tell each other, the others are taken to have as much as this one
-// has on average.
+// meanBacklog returns the mean work queued at an endpoint. In a group too large
+// for routers to exchange their loads, every other router is assumed to have
+// this router's average backlog.
 func (ro *Router) meanBacklog(now time.Time, id policy.ServiceID, ens []policy.Endpoint) placement.Work {
 	mean := ro.balancer.Pressure(now, ens)
 	if !ro.peers.Large() {
@@ -117,7 +123,7 @@
 	return ro.backlogs.add(now, id, mean*placement.Work(ro.routers.Load()))
 }
 
-// send makes the attempt.
+// send sends the request and receives the answer, or a stream's first event.
 func (at *attempt) send(ctx context.Context, after EventID) (*answer, *failure) {
 	ro, ca, rq := at.router, at.call, at.call.request
 	if time.Until(ca.deadline) < minRemaining {
@@ -152,8 +158,9 @@
 	return an.receive()
 }
 
-// headDeadline is when the answer's head must have come: the deadline, or earlier
-// when another endpoint could still be in time.
+// headDeadline returns the time by which the head of the answer must arrive. That
+// is the request's deadline, or earlier if a retry on another endpoint is allowed
+// and could still be in time.
 func (at *attempt) headDeadline() time.Time {
 	ca := at.call
 	if !ca.route.Repeatable() || ca.sends >= ca.route.MaxAttempts {
@@ -170,12 +177,12 @@
 	return deadline
 }
 
-// estimatedWait is how long the endpoint should take until it answers.
+// estimatedWait returns the estimated time until the endpoint's answer begins.
 func (at *attempt) estimatedWait() time.Duration {
 	return time.Duration(float64(at.placement.Estimate) * float64(time.Second))
 }
 
-// idleTimeout is the longest silence of an answer that has begun.
+// idleTimeout returns how long an answer that has begun may be silent.
 func (at *attempt) idleTimeout() time.Duration {
 	ca := at.call
 	if !ca.wantsStream() {
@@ -187,7 +194,8 @@
 	return defaultEventGap
 }
 
-// receive takes in what decides about an answer: all of it, or its first event.
+// receive checks the head of the answer, then reads a stream's first event or a
+// buffered answer's body.
 func (an *answer) receive() (*answer, *failure) {
 	ca := an.call
 	switch {
@@ -246,7 +254,7 @@
 	return an, nil
 }
 
-// recordStart notes that the answer has begun.
+// recordStart records that the answer has begun, and how long that took.
 func (at *attempt) recordStart() {
 	ro, ca, took := at.router, at.call, time.Since(at.sentAt)
 	ro.balancer.Answered(at.placement, took)
@@ -255,7 +263,7 @@
 	ro.metrics.Attempts.Add(context.Background(), 1, metric.With(metric.KeyOutcome, "answered", metric.KeyCause, ""))
 }
 
-// finish counts the attempt's end.
+// finish records the attempt's result. Only the first call has an effect.
 func (at *attempt) finish(re placement.Result) {
 	if at.finished {
 		return
@@ -271,7 +279,8 @@
 	}
 }
 
-// fail counts an attempt that failed.
+// fail records a failed attempt. It is neutral for the endpoint if the caller
+// cancelled or caused the failure, or if there was no time left to send.
 func (at *attempt) fail(ctx context.Context, fa *failure) {
 	ro, result := at.router, placement.Failed
 	switch {
@@ -309,13 +318,13 @@
 	}
 }
 
-// discard ends an answer of which the caller has received nothing.
+// discard closes an answer of which the caller has received nothing.
 func (an *answer) discard() {
 	an.source.Close()
 	an.finish(placement.Succeeded)
 }
 
-// writeBuffered sends a complete answer.
+// writeBuffered writes a buffered answer to the caller.
 func (an *answer) writeBuffered(wr http.ResponseWriter, status int) {
 	copyHeader(wr.Header(), an.header)
 	wr.Header().Set("Content-Length", strconv.Itoa(len(an.body)))
@@ -323,13 +332,14 @@
 	_, _ = io.Copy(wr, bytes.NewReader(an.body))
 }
 
-// connectionHeaders concern one connection only.
+// connectionHeaders are headers that apply to one connection only, or that are set
+// anew for the caller.
 var connectionHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Content-Length": true, "Date": true,
 }
 
-// copyHeader gives the caller an endpoint's headers.
+// copyHeader copies an endpoint's headers, except those of the connection.
 func copyHeader(to, from http.Header) {
 	for name, values := range from {
 		if !connectionHeaders[name] {
@@ -337,6 +347,6 @@
 		}
 	}
 	if _, ok := from["Content-Type"]; !ok {
-		to["Content-Type"] = nil // keeps net/http from guessing one
+		to["Content-Type"] = nil // stops net/http from detecting one
 	}
 }
--- a/relay/backlog.go
+++ b/relay/backlog.go
@@ -9,11 +9,12 @@
 	"tanagerpoint.example/tanager/policy"
 )
 
-// backlogSmoothing is the time over which a router's own backlog is averaged
-// when it stands for those of many others: at one moment it is one request or none.
+// backlogSmoothing is the time constant of the average of a router's own backlog.
+// In large groups the average stands for the other routers' backlogs too; a single
+// sample would not do, since it is often one request or none.
 const backlogSmoothing = 1500 * time.Millisecond
 
-// backlogAverages averages the work that waits at the mean endpoint of each service.
+// backlogAverages holds the average of the mean backlog of each service's endpoints.
 //
 // mu guards the map. No other lock is taken while it is held.
 type backlogAverages struct {
@@ -21,7 +22,7 @@
 	byService map[policy.ServiceID]movingAverage
 }
 
-// movingAverage is a mean over time in which the past counts less and less.
+// movingAverage is an exponentially weighted moving average.
 type movingAverage struct {
 	value placement.Work
 	at    time.Time
@@ -31,7 +32,7 @@
 	return &backlogAverages{byService: map[policy.ServiceID]movingAverage{}}
 }
 
-// add takes a sample in and gives the average.
+// add adds a sample and returns the new average.
 func (ba *backlogAverages) add(now time.Time, id policy.ServiceID, sample placement.Work) placement.Work {
 	ba.mu.Lock()
 	defer ba.mu.Unlock()
--- a/relay/budget.go
+++ b/relay/budget.go
@@ -9,19 +9,21 @@
 )
 
 const (
-	// usedBudgetShare is the part of the site's budget that the routers use: their
-	// counts differ from what endpoints see by requests that are on their way.
+	// usedBudgetShare is the share of the site's retry budget that the routers use.
+	// The rest allows for requests in flight, by which the routers' counts differ
+	// from the endpoints'.
 	usedBudgetShare = 0.85
-	// escalationShare of the budget may be used by starts at a larger model; the
-	// rest is kept for requests that failed.
+	// escalationShare is the share of the budget open to restarts on a larger
+	// model; the rest is reserved for requests that failed.
 	escalationShare = 0.88
-	// failureShare is the share for requests that failed.
+	// failureShare is the share of the budget open to requests that failed.
 	failureShare = 1
-	// minRouterCount shares out the slack before other routers are heard of.
+	// minRouterCount is the smallest number of routers that the slack is divided
+	// by, as a router that has just started does not know the others yet.
 	minRouterCount = 8
 )
 
-// retryBudgets bounds the retries by service.
+// retryBudgets limits the retries of each service.
 //
 // mu guards the map. A budget's own lock is taken after it.
 type retryBudgets struct {
@@ -48,7 +50,7 @@
 	return wi
 }
 
-// reset forgets all budgets; they are made anew by the options in force.
+// reset removes all budgets. They are created again from the current options.
 func (rb *retryBudgets) reset() {
 	rb.mu.Lock()
 	defer rb.mu.Unlock()
@@ -59,7 +61,8 @@
 	rb.get(now, id).Received(now)
 }
 
-// take allows one retry within a share of the budget.
+// take reports whether a retry is allowed within a share of the budget, and
+// counts it.
 func (rb *retryBudgets) take(now time.Time, id policy.ServiceID, share float64) bool {
 	return rb.get(now, id).Take(now, share)
 }
--- a/relay/dialect.go
+++ b/relay/dialect.go
@@ -7,44 +7,46 @@
 	"tanagerpoint.example/tanager/policy"
 )
 
-// SendParams is one sending of a request to an endpoint.
+// SendParams describes one send of a request to an endpoint.
 type SendParams struct {
 	Request      *Request
 	Endpoint     policy.Endpoint
 	Organisation policy.OrganisationID
-	// Model is the router's choice, "" when the caller named one.
+	// Model is the model selected by the router, "" if the caller chose one.
 	Model    policy.ModelID
 	Deadline time.Time
-	// LastEventID is the last event that the caller has, 0 for none.
+	// LastEventID is the last event that the caller has received, 0 for none.
 	LastEventID EventID
-	// Urgency is 0 for the most urgent.
+	// Urgency is 0 for the most urgent requests.
 	Urgency int64
 }
 
-// AnswerHead is what an endpoint's answer says beside its status and body.
+// AnswerHead is what the status and headers of an endpoint's answer say.
 type AnswerHead struct {
-	// Request is the id that the answer carries, "" when it carries none.
+	// Request is the request id in the answer, "" if there is none.
 	Request RequestID
-	// NotRun tells that the endpoint did not run the request.
+	// NotRun reports whether the endpoint states that it did not run the request.
 	NotRun bool
-	// Signed tells that the service itself made the answer. A dialect without
-	// signatures says so of every answer.
+	// Signed reports whether the answer was made by the service itself. It is true
+	// for every answer in a dialect without signatures.
 	Signed bool
-	// Confidence is the model's opinion of its answer, from 0 to 100.
+	// Confidence is the model's own rating of its answer, from 0 to 100.
 	Confidence float64
-	// HasConfidence tells that there is a confidence.
+	// HasConfidence reports whether Confidence is set.
 	HasConfidence bool
-	// Running and Waiting are the requests at the endpoint, if Loaded.
+	// Running and Waiting are the numbers of requests at the endpoint. They are
+	// set if HasLoad is true.
 	Running, Waiting int
 	HasLoad          bool
 }
 
-// Dialect says how endpoints are spoken to.
+// Dialect defines the headers of requests to endpoints and of their answers.
 type Dialect interface {
-	// Header gives the headers of a send.
+	// Header returns the headers of a request.
 	Header(se SendParams, now time.Time) http.Header
-	// Head reads an answer's.
+	// Head parses the status and headers of an answer.
 	Head(status int, he http.Header) AnswerHead
-	// RemoveSignature takes out what marks an answer as the service's own.
+	// RemoveSignature removes the headers that show that the service itself made
+	// the answer.
 	RemoveSignature(he http.Header)
 }
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -10,14 +10,16 @@
 	"tanagerpoint.example/tanager/rpc"
 )
 
-// loadPrefix is the prefix of the routers' items on their work: load/VM.
+// loadPrefix is the key prefix under which each router publishes its load:
+// load/VM.
 const loadPrefix = "load/"
 
-// Publish tells the other routers of this one's work.
+// Publish publishes this router's load and its results of roll-outs to the other
+// routers.
 func (ro *Router) Publish() {
 	ro.releases.publish()
 	if ro.peers.Large() {
-		// The endpoints' own reports of their load are fresher then.
+		// In large groups the endpoints' own load reports are more recent.
 		return
 	}
 	us := &rpc.Usage{}
@@ -29,7 +31,7 @@
 	ro.peers.Publish(loadPrefix+string(ro.peers.VM()), us)
 }
 
-// Refresh processes what the other routers told.
+// Refresh applies what the other routers have published.
 func (ro *Router) Refresh() {
 	now := time.Now()
 	others := map[policy.EndpointID]placement.Load{}
--- a/relay/fleet.go
+++ b/relay/fleet.go
@@ -11,15 +11,16 @@
 )
 
 const (
-	// maxLoadPerSlot times its slots is the most that the routers have at an
-	// endpoint; more waits better elsewhere, or at the caller.
+	// maxLoadPerSlot is the number of requests of all routers per slot at which an
+	// endpoint gets no more. Further requests are better off at another endpoint
+	// or back at the caller.
 	maxLoadPerSlot = 2
-	// connectionShare of an endpoint's connections are used, so that those that
-	// are closing leave room.
+	// connectionShare is the share of an endpoint's connection limit that is used.
+	// The rest allows for connections that are still closing.
 	connectionShare = 0.8
 )
 
-// fleet is the endpoints by service.
+// fleet holds the endpoints of each service.
 //
 // mu guards all fields. The balancer's and the holder's locks are taken after it.
 type fleet struct {
@@ -29,8 +30,8 @@
 	revision  store.Revision
 	built     bool
 	byService map[policy.ServiceID][]policy.Endpoint
-	// lapsed are endpoints that vanished while the store was unsteady, with the
-	// time until which they count.
+	// lapsed holds endpoints that disappeared while the store was unsteady, with
+	// the time until which they are still used.
 	lapsed map[policy.EndpointID]lapsedEndpoint
 }
 
@@ -43,7 +44,8 @@
 	return &fleet{router: ro, byService: map[policy.ServiceID][]policy.Endpoint{}, lapsed: map[policy.EndpointID]lapsedEndpoint{}}
 }
 
-// forService gives the endpoints forService a service that are not draining.
+// forService returns the endpoints of a service that are not draining, including
+// lapsed ones that are still used.
 func (fl *fleet) forService(now time.Time, id policy.ServiceID) []policy.Endpoint {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
@@ -57,14 +59,15 @@
 	return ens
 }
 
-// refresh brings the endpoints up to the policy in force.
+// refresh updates the endpoints to the policy in force.
 func (fl *fleet) refresh(now time.Time) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	fl.rebuild(now)
 }
 
-// rebuild brings the endpoints up to the policy in force.
+// rebuild updates the endpoints to the policy in force, if that has changed. The
+// caller holds mu.
 func (fl *fleet) rebuild(now time.Time) {
 	se := fl.router.holder.Set()
 	if fl.built && se.Revision == fl.revision {
@@ -85,8 +88,8 @@
 	})
 }
 
-// retainLapsed keeps the endpoints that vanish while the store is unsteady: their
-// registrations may have run out because nothing could renew them.
+// retainLapsed keeps endpoints that disappear while the store is unsteady. Their
+// registrations may have expired only because they could not be renewed.
 func (fl *fleet) retainLapsed(now time.Time, se *policy.Set) {
 	for id, le := range fl.lapsed {
 		if _, back := se.Endpoints.ByID(id); back || now.After(le.until) {
@@ -108,7 +111,7 @@
 	}
 }
 
-// hasCapacity tells whether an endpoint may have one more request.
+// hasCapacity reports whether an endpoint may get one more request.
 func (fl *fleet) hasCapacity(ca *call, en policy.Endpoint, running placement.Running, routers int) bool {
 	if running.All >= maxLoadPerSlot*int(en.Slots) {
 		return false
@@ -120,8 +123,8 @@
 	return float64(running.Own+1) <= max(1, connectionShare*float64(most)/float64(routers))
 }
 
-// retryAfter gives the time after which a request that found no room should
-// come back.
+// retryAfter returns how long the caller of a request that found no free endpoint
+// should wait before it tries again.
 func (fl *fleet) retryAfter(ca *call) time.Duration {
 	if ca.route.Target() < defaultRetryDelay {
 		return defaultRetryDelay
--- a/relay/latency.go
+++ b/relay/latency.go
@@ -9,30 +9,33 @@
 )
 
 const (
-	// initialBase and firstPerToken are assumed until answers have begun.
+	// initialBase and initialPerToken are used until answers have been observed.
 	initialBase     = 40 * time.Millisecond
 	initialPerToken = 40 * time.Microsecond
-	// minLongPrompt is the tokens from which a prompt tells of the time a token takes.
+	// minLongPrompt is the number of tokens from which a prompt is used to measure
+	// the time per token; shorter ones measure the base.
 	minLongPrompt = 1000
-	// fallSmoothing and riseSmoothing weigh a new measurement below and above
-	// the estimate: waiting only ever adds to what is measured.
+	// fallSmoothing and riseSmoothing are the weights of a measurement below and
+	// above the estimate. The estimate is of an idle endpoint, and queueing only
+	// ever adds to a measurement, so it rises more slowly than it falls.
 	fallSmoothing = 0.2
 	riseSmoothing = 0.03
 )
 
-// latencyKey is what the time until an answer depends on.
+// latencyKey identifies the requests that share a latency estimate.
 type latencyKey struct {
 	service policy.ServiceID
 	model   policy.ModelID
 }
 
-// latency is the time that an idle endpoint takes until it answers, in seconds.
+// latency is the estimated time until an idle endpoint's answer begins, in
+// seconds: a base, and the time for each token of the prompt.
 type latency struct {
 	base     float64
 	perToken float64
 }
 
-// latencies learns from answers how long idle endpoints take.
+// latencies estimates from observed answers how long idle endpoints take.
 //
 // mu guards the map. No other lock is taken while it is held.
 type latencies struct {
@@ -49,8 +52,8 @@
 	return latency{base: initialBase.Seconds(), perToken: initialPerToken.Seconds()}
 }
 
-// estimate gives the time until an answer to a prompt, and the part of it that
-// reading some of its tokens takes.
+// estimate returns the time in seconds until the answer to a prompt begins, and
+// how much of it is spent on processing part of the prompt's tokens.
 func (ls *latencies) estimate(key latencyKey, tokens, part policy.Tokens) (total, ofPart placement.Work) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
@@ -58,7 +61,7 @@
 	return placement.Work(la.base + la.perToken*float64(tokens)), placement.Work(la.perToken * float64(part))
 }
 
-// observe learns from an answer that began after a time.
+// observe updates the estimate with an answer that took this long to begin.
 func (ls *latencies) observe(key latencyKey, tokens policy.Tokens, took time.Duration) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
--- a/relay/refusal.go
+++ b/relay/refusal.go
@@ -7,10 +7,11 @@
 	"time"
 )
 
-// Reason says why the router itself ended a request.
+// Reason says why the router refused or failed a request without passing on an
+// endpoint's answer.
 type Reason string
 
-// The reasons.
+// The values of Reason.
 const (
 	ReasonNoPolicy             Reason = "no_policy"
 	ReasonNoRoute              Reason = "no_route"
@@ -26,18 +27,19 @@
 	ReasonTimeout              Reason = "timeout"
 )
 
-// Refusal is the router's own final answer to a request.
+// Refusal is an answer made by the router itself. It ends a request.
 type Refusal struct {
 	Status int
 	Reason Reason
-	// RetryAt is when to come back; zero when that is of no use.
+	// RetryAt is when the caller should retry; zero if a retry is of no use.
 	RetryAt time.Time
 }
 
-// Error gives the reason.
+// Error implements error.
 func (re *Refusal) Error() string { return "relay: " + string(re.Reason) }
 
-// refuseNotRun refuses a request that no endpoint has run or will run.
+// refuseNotRun returns a refusal for a request that no endpoint has run or will
+// run.
 func refuseNotRun(rs Reason, retryAt time.Time) *Refusal {
 	return &Refusal{Status: http.StatusServiceUnavailable, Reason: rs, RetryAt: retryAt}
 }
@@ -47,7 +49,7 @@
 	NotRun bool   `json:"not_run"`
 }
 
-// Write sends the refusal.
+// Write writes the refusal to the caller.
 func (re *Refusal) Write(wr http.ResponseWriter, now time.Time) {
 	he := wr.Header()
 	he.Set("Content-Type", "application/json")
--- a/relay/release.go
+++ b/relay/release.go
@@ -13,12 +13,12 @@
 	"tanagerpoint.example/tanager/rpc"
 )
 
-// healthPrefix is the prefix of the routers' items on releases under roll-out:
-// release/SERVICE/VM.
+// healthPrefix is the key prefix under which each router publishes its results of
+// a service's roll-out: release/SERVICE/VM.
 const healthPrefix = "release/"
 
-// releaseSelector decides which release of a service a request runs on, and judges
-// the releaseSelector that are rolled out.
+// releaseSelector selects the release of a service that a request runs on, and
+// tests releases that are being rolled out.
 //
 // mu guards trials. The sessions' own lock is taken after it.
 type releaseSelector struct {
@@ -28,20 +28,20 @@
 	trials   map[policy.ServiceID]*trial
 }
 
-// trial is a release under roll-out as this router sees it.
+// trial is this router's state of a roll-out.
 type trial struct {
 	target policy.ReleaseID
 	health rollout.HealthTest
-	// stable counts the answers of the release in use in the same time.
+	// stable counts the answers of the release in use during the roll-out.
 	stable rollout.Counts
-	// rejectionReason is why the release is rejectionReason, "" while it is not known to be.
+	// rejectionReason says why the release is bad, "" while it is not known to be.
 	rejectionReason string
-	// settledHere and settledElsewhere are the sessions settled on the release in use, as seen
-	// by this router and as told by the others.
+	// settledHere and settledElsewhere are the sessions that stay on the release
+	// in use, as seen by this router and as published by the others.
 	settledHere, settledElsewhere settledSessions
-	// peerAnswers counts the other routers' answers of the new release.
+	// peerAnswers is the number of the new release's answers at the other routers.
 	peerAnswers int64
-	// firstSeenAt is when this router learnt of the roll-out.
+	// firstSeenAt is when this router first saw the roll-out.
 	firstSeenAt time.Time
 }
 
@@ -49,8 +49,8 @@
 	return &releaseSelector{router: ro, sessions: newSessions(), trials: map[policy.ServiceID]*trial{}}
 }
 
-// endpointsFor gives those that a call may be sent to, and those that may have it
-// when none of them can.
+// endpointsFor returns the endpoints of the release selected for a call, and
+// those of the release in use as a fallback if none of the former has capacity.
 func (rs *releaseSelector) endpointsFor(now time.Time, ca *call) (ens, fallback []policy.Endpoint) {
 	all := rs.router.fleet.forService(now, ca.service.ID)
 	ro, ok := rs.router.holder.Set().ServiceRollout(ca.service.ID)
@@ -76,9 +76,9 @@
 	return target, current
 }
 
-// usesCandidate tells whether a request goes to a release under roll-out: one of a
-// session that goes on stays where the session was, a new one goes by the
-// share. A request that failed on trial goes on with the release in use.
+// usesCandidate reports whether a request goes to the release under roll-out.
+// A running session stays on its release; new sessions are assigned by the share.
+// A request that failed on the candidate is retried on the release in use.
 func (rs *releaseSelector) usesCandidate(now time.Time, ca *call, ro policy.Rollout, share float64) bool {
 	if share >= 1 {
 		return true
@@ -102,7 +102,7 @@
 	return retentionFactor * rs.router.options().Serving.GetSessionKeep().AsDuration()
 }
 
-// recordSend notes which release a request goes to.
+// recordSend records the release that a session's request is sent to.
 func (rs *releaseSelector) recordSend(now time.Time, ca *call, en policy.Endpoint) {
 	id := ca.request.Session
 	if id == "" {
@@ -118,8 +118,9 @@
 	rs.trialOf(now, ro).settledHere.record(now, hashSession(id))
 }
 
-// retentionFactor times the time between a session's requests is how long it is
-// remembered: that time runs from the end of the request before, which may last.
+// retentionFactor is how many times the setting session_keep a session is
+// remembered. session_keep runs from the end of the session's previous request,
+// which may itself take long.
 const retentionFactor = 2
 
 func splitByRelease(ens []policy.Endpoint, release string) (others, of []policy.Endpoint) {
@@ -144,7 +145,8 @@
 	return tr
 }
 
-// recordSettled notes the sessions that go on with the release in use as a trial begins.
+// recordSettled records the sessions that stay on the release in use as a trial
+// begins. The caller holds mu.
 func (rs *releaseSelector) recordSettled(now time.Time, ro policy.Rollout, tr *trial) {
 	exposed := rs.router.options().Rollout.GetExposedShare()
 	rs.sessions.forEachSince(policy.ServiceID(ro.Service), now.Add(-rs.sessionRetention()), func(id SessionID, se lastRequest) {
@@ -155,14 +157,15 @@
 }
 
 const (
-	// trialDelay is how long routers take to tell each other the sessions that
-	// go on with the release in use, in a small group.
+	// trialDelay is how long routers in a small group take to exchange the
+	// sessions that stay on the release in use.
 	trialDelay = 2500 * time.Millisecond
-	// maxTrialDelayShare is the part of a roll-out's time that this may take.
+	// maxTrialDelayShare limits that delay to a share of the roll-out's duration.
 	maxTrialDelayShare = 0.3
 )
 
-// plan gives the roll-out's times: from when it was taken up, or was seen here.
+// plan returns the schedule of a roll-out. It begins at the recorded start or, as
+// long as there is none, when this router first saw the roll-out.
 func (rs *releaseSelector) plan(ro policy.Rollout, tr *trial) rollout.Plan {
 	started := tr.firstSeenAt
 	if ro.StartedAtMs > 0 {
@@ -173,7 +176,7 @@
 	return rollout.Plan{StartedAt: started, TrialAt: started.Add(delay), DeadlineAt: started.Add(duration)}
 }
 
-// observe takes in an answer, or a failure, of an endpoint.
+// observe adds the outcome of an attempt at an endpoint.
 func (rs *releaseSelector) observe(id policy.ServiceID, en policy.Endpoint, ou rollout.Outcome) {
 	ro, ok := rs.router.holder.Set().ServiceRollout(id)
 	if !ok || !ro.Active() {
@@ -193,7 +196,7 @@
 	}
 }
 
-// reject stops a release at this router.
+// reject stops sending requests to a release at this router. The caller holds mu.
 func (rs *releaseSelector) reject(ro policy.Rollout, tr *trial, reason string) {
 	if tr.rejectionReason != "" {
 		return
@@ -205,8 +208,9 @@
 	})
 }
 
-// refresh takes in what the other routers saw: one that found a release bad
-// stops it everywhere, and so do failures that are few at each router.
+// refresh applies the other routers' results. A release that any router rejected
+// is rejected here too, and so is one whose failures are few at each router but
+// too many in total.
 func (rs *releaseSelector) refresh() {
 	se, now := rs.router.holder.Set(), time.Now()
 	for _, ro := range se.Rollouts.List() {
@@ -232,7 +236,7 @@
 	}
 }
 
-// peerReports is what the other routers told of a roll-out.
+// peerReports is the sum of the other routers' published results of a roll-out.
 type peerReports struct {
 	rejectionReason string
 	target, stable  rollout.Counts
@@ -264,12 +268,13 @@
 	return out
 }
 
-// inFlightTTL is how long a router's word on its requests in flight counts.
+// inFlightTTL is how long a router's published requests in flight and sessions
+// are used.
 const inFlightTTL = 4 * time.Second
 
 func healthKey(service, vm string) string { return healthPrefix + service + "/" + vm }
 
-// publish tells the other routers what this one saw.
+// publish publishes this router's results of all roll-outs.
 func (rs *releaseSelector) publish() {
 	for _, ro := range rs.router.holder.Set().Rollouts.List() {
 		if ro.Service == "" || !ro.Active() {
@@ -294,7 +299,8 @@
 	}
 }
 
-// stableInFlight counts this router's requests on the release in use.
+// stableInFlight returns the number of this router's requests on the release in
+// use.
 func (rs *releaseSelector) stableInFlight(ro policy.Rollout) int64 {
 	sum := 0
 	loads := rs.router.balancer.Loads()
@@ -306,7 +312,7 @@
 	return int64(sum)
 }
 
-// RolloutProgress judges a roll-out that is under way.
+// RolloutProgress returns the progress of a roll-out over all routers.
 func (ro *Router) RolloutProgress(now time.Time, rec policy.Rollout) rollout.Progress {
 	reports := ro.releases.collectPeerReports(rec)
 	inFlight := ro.releases.stableInFlight(rec)
--- a/relay/request.go
+++ b/relay/request.go
@@ -1,9 +1,10 @@
-// Package relay carries requests of routes to the endpoints of their services
-// and brings the answers back: it chooses endpoints and models, tries again
-// where that is allowed, resumes streams, and keeps new releases from harm.
+// Package relay is the router's reverse proxy: it sends the requests of routes to
+// the endpoints of their services and returns the answers. It selects endpoints
+// and models, retries where that is allowed, resumes streams, and limits the harm
+// that a bad release can do.
 //
-// It knows requests in its own terms only. A front decodes what callers send
-// into a Request, and a Dialect says how endpoints are spoken to.
+// It is independent of any wire protocol. A front end decodes callers' requests
+// into a Request, and a Dialect defines the headers exchanged with endpoints.
 package relay
 
 import (
@@ -16,52 +17,54 @@
 	"tanagerpoint.example/tanager/policy"
 )
 
-// RequestID names one sending of a request by a caller; it is not used again.
+// RequestID identifies one send of a request by a caller; it is not used again.
 type RequestID string
 
-// SessionID names a session of a caller.
+// SessionID identifies a session of a caller.
 type SessionID string
 
-// PromptPartID names a part of a prompt; equal parts have equal ids.
+// PromptPartID identifies a part of a prompt; equal parts have equal ids.
 type PromptPartID string
 
-// EventID numbers the events of a stream; ids rise.
+// EventID is the number of an event in a stream. It increases with each event.
 type EventID int64
 
-// PromptPart is a part of a prompt.
+// PromptPart is a part of a prompt, with its length.
 type PromptPart struct {
 	ID     PromptPartID
 	Tokens policy.Tokens
 }
 
-// Request is one request of a route.
+// Request is a caller's request.
 type Request struct {
 	ID     RequestID
 	Method string
-	// Target is the request target as the caller wrote it, Path its path.
+	// Target is the request target as the caller sent it; Path is its path.
 	Target string
 	Path   string
 	Host   string
-	// Header holds what is carried to the endpoint.
+	// Header holds the headers that are passed on to the endpoint.
 	Header http.Header
 	Body   []byte
-	// Key is the caller's API key, "" without one.
+	// Key is the caller's API key, "" for none.
 	Key        string
 	ReceivedAt time.Time
-	// Deadline is the caller's own, zero when it named none.
+	// Deadline is the deadline set by the caller, zero for none.
 	Deadline time.Time
 	Session  SessionID
-	// Prompt lists the parts of a prompt in order; the last is the request's own.
+	// Prompt lists the parts of the prompt in order. The last one is specific to
+	// this request; those before it form the prefix that requests may share.
 	Prompt []PromptPart
-	// ExpectedOutput is the caller's estimate of the answer's tokens.
+	// ExpectedOutput is the caller's estimate of the answer's length in tokens.
 	ExpectedOutput policy.Tokens
-	// AnyModel leaves the choice of the model to the router.
+	// AnyModel reports whether the router selects the model.
 	AnyModel bool
-	// LastEventID is the last event that the caller has of a stream, 0 for none.
+	// LastEventID is the last event of the stream that the caller has received, 0
+	// for none.
 	LastEventID EventID
 }
 
-// promptTokens adds up the prompt.
+// promptTokens returns the length of the prompt.
 func (rq *Request) promptTokens() policy.Tokens {
 	sum := policy.Tokens(0)
 	for _, pa := range rq.Prompt {
@@ -70,7 +73,7 @@
 	return sum
 }
 
-// prefixTokens adds up the parts before the request's own.
+// prefixTokens returns the length of the prompt's shared prefix.
 func (rq *Request) prefixTokens() policy.Tokens {
 	if len(rq.Prompt) == 0 {
 		return 0
@@ -78,7 +81,8 @@
 	return rq.promptTokens() - rq.Prompt[len(rq.Prompt)-1].Tokens
 }
 
-// prefix names the shared prefix of the prompt for a model, 0 when there is none.
+// prefix returns a hash of the prompt's shared prefix and the model, or 0 if there
+// is no shared prefix.
 func (rq *Request) prefix(model policy.ModelID) placement.Prefix {
 	if len(rq.Prompt) < 2 {
 		return 0
@@ -91,8 +95,9 @@
 	return placement.Prefix(di.Sum64())
 }
 
-// sessionFraction gives a number from 0 to 1 that is the same for all requests of a
-// session; salt makes draws for different ends independent.
+// sessionFraction returns a number from 0 up to, but not including, 1 that is the
+// same for all requests of a session. Numbers with different salts are
+// independent of each other.
 func (rq *Request) sessionFraction(salt string) float64 {
 	if rq.Session == "" {
 		return hashFraction(salt, string(rq.ID))
--- a/relay/router.go
+++ b/relay/router.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	// defaultRetryDelay is when a request that was not run should come back when nothing
-	// better is known.
+	// defaultRetryDelay is the delay after which a caller should retry a request
+	// that was not run, if there is no better estimate.
 	defaultRetryDelay = 300 * time.Millisecond
-	// minRemaining is the time left below which a request is not sent any more.
+	// minRemaining is the minimum time left before the deadline to send a request.
 	minRemaining = 5 * time.Millisecond
 )
 
-// Options say how a Router works.
+// Options are the settings of a Router that may change while it runs.
 type Options struct {
 	Dialect Dialect
 	Serving *rpc.RouterServingSection
@@ -32,7 +32,7 @@
 }
 
 // Router serves the requests of routes. It is safe for concurrent use; each
-// part states its own lock, and which others are taken after it.
+// part documents its own lock, and which others are taken after it.
 type Router struct {
 	current   atomic.Pointer[Options]
 	holder    *configuration.Holder
@@ -49,11 +49,11 @@
 	releases *releaseSelector
 	draining atomic.Bool
 	inFlight atomic.Int64
-	// routers counts the routers heard of, this one included.
+	// routers is the number of known routers, including this one.
 	routers atomic.Int64
 }
 
-// Dependencies are what a router works with.
+// Dependencies are the components that a Router uses.
 type Dependencies struct {
 	Holder  *configuration.Holder
 	Client  *endpoint.Client
@@ -62,11 +62,11 @@
 	Metrics *metric.Metrics
 }
 
-// New gives a router.
-func New(opt Options, pa Dependencies) *Router {
+// New returns a Router.
+func New(opt Options, de Dependencies) *Router {
 	ro := &Router{
-		holder: pa.Holder, client: pa.Client, peers: pa.Peers, log: pa.Log, metrics: pa.Metrics,
-		balancer: placement.NewBalancer(uint64(time.Now().UnixNano()), pa.Peers.FailureDomain()), latencies: newLatencies(), backlogs: newBacklogAverages(),
+		holder: de.Holder, client: de.Client, peers: de.Peers, log: de.Log, metrics: de.Metrics,
+		balancer: placement.NewBalancer(uint64(time.Now().UnixNano()), de.Peers.FailureDomain()), latencies: newLatencies(), backlogs: newBacklogAverages(),
 	}
 	ro.current.Store(&opt)
 	ro.routers.Store(1)
@@ -76,17 +76,18 @@
 	return ro
 }
 
-// options gives what is in force.
+// options returns the options in force.
 func (ro *Router) options() *Options { return ro.current.Load() }
 
-// SetOptions brings other options into force; budgets start anew.
+// SetOptions replaces the options and resets the retry budgets.
 func (ro *Router) SetOptions(opt Options) {
 	ro.current.Store(&opt)
 	ro.budgets.reset()
 }
 
-// Run follows the policy until ctx ends: when an endpoint vanishes is noted at
-// once, not when the next request looks for it.
+// Run updates the endpoints at each change of the policy until ctx is cancelled.
+// The time at which an endpoint disappears is thus recorded at once, not at the
+// next request to its service.
 func (ro *Router) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := ro.holder.Changed()
@@ -98,22 +99,23 @@
 	}
 }
 
-// InFlight counts the requests in service.
+// InFlight returns the number of requests being served.
 func (ro *Router) InFlight() int64 { return ro.inFlight.Load() }
 
-// Drain lets each answer end its connection.
+// Drain makes the router close each connection after its next answer.
 func (ro *Router) Drain() { ro.draining.Store(true) }
 
-// Draining tells whether Drain was called.
+// Draining reports whether Drain has been called.
 func (ro *Router) Draining() bool { return ro.draining.Load() }
 
-// Ready tells whether requests can be served.
+// Ready reports whether the router can serve requests: it has routes and is not
+// draining.
 func (ro *Router) Ready() bool {
 	se := ro.holder.Set()
 	return !ro.Draining() && se.Routes.Len() > 0
 }
 
-// call is one request on its way.
+// call is the state of a request being served.
 type call struct {
 	request      *Request
 	route        policy.Route
@@ -121,20 +123,21 @@
 	organisation policy.OrganisationID
 	urgency      int64
 	deadline     time.Time
-	// failedEndpoints are the endpoints that failed it, sends counts those it was sent to.
+	// failedEndpoints are the endpoints at which an attempt failed; sends is the
+	// number of sends that count towards the route's maximum.
 	failedEndpoints []policy.EndpointID
 	sends           int64
-	// mayHaveRun tells whether an endpoint may have run it.
+	// mayHaveRun reports whether an endpoint may have run the request.
 	mayHaveRun bool
-	// meanBacklog is the work that waited at the mean endpoint at the last send.
+	// meanBacklog is the mean work queued at an endpoint before the last attempt.
 	meanBacklog placement.Work
-	// model is the choice so far among the route's models; keepSmall ends the
-	// choosing.
+	// model is the index of the current model in models; noEscalation prevents a
+	// change to a larger one.
 	model        int
 	noEscalation bool
 }
 
-// Serve answers a request.
+// Serve serves a request and blocks until it has been answered.
 func (ro *Router) Serve(ctx context.Context, wr http.ResponseWriter, rq *Request) {
 	ro.inFlight.Add(1)
 	defer ro.inFlight.Add(-1)
@@ -164,7 +167,8 @@
 	re.Write(wr, now)
 }
 
-// admit decides by the policy in force whether a request may run, and where.
+// admit checks a request against the policy in force, and returns the call with
+// its route, service and deadline.
 func (ro *Router) admit(rq *Request) (*call, *Refusal) {
 	se := ro.holder.Set()
 	if se.Routes.Len() == 0 {
@@ -188,7 +192,8 @@
 	return ca, nil
 }
 
-// setOrganisation finds the organisation by its key. Routes that are public need none.
+// setOrganisation sets the organisation from the API key. It refuses unknown keys,
+// except on public routes or if there are no organisations.
 func (ca *call) setOrganisation(se *policy.Set) *Refusal {
 	or, ok := se.OrganisationByKey(ca.request.Key)
 	if ok {
@@ -203,8 +208,8 @@
 	return &Refusal{Status: http.StatusUnauthorized, Reason: ReasonUnknownKey}
 }
 
-// models gives the models that the router may choose among; one empty name
-// when the caller chose.
+// models returns the models that the router may select from, or a single "" if
+// the caller chose the model.
 func (ca *call) models() []string {
 	if ca.request.AnyModel && len(ca.route.Models) > 0 {
 		return ca.route.Models
@@ -216,13 +221,13 @@
 
 func (ca *call) wantsStream() bool { return ca.route.Kind == rpc.RouteKind_STREAM }
 
-// State is the router's part of a dump.
+// State is the state of a Router in a dump.
 type State struct {
 	Routers   int64                                `json:"routers"`
 	Endpoints map[policy.EndpointID]placement.Load `json:"endpoints"`
 }
 
-// State gives the router's part of a dump.
+// State returns the router's state for a dump.
 func (ro *Router) State() State {
 	return State{Routers: ro.routers.Load(), Endpoints: ro.balancer.Loads()}
 }
--- a/relay/run.go
+++ b/relay/run.go
@@ -13,8 +13,8 @@
 	"tanagerpoint.example/tanager/policy"
 )
 
-// run sends a request until there is an answer to pass on, and passes it on.
-// The refusal is the final answer when there is none.
+// run sends a request, with retries, until there is an answer to deliver to the
+// caller. It returns a refusal if nothing has been written to the caller.
 func (ro *Router) run(ctx context.Context, wr http.ResponseWriter, ca *call) *Refusal {
 	var last *failure
 	for {
@@ -35,14 +35,15 @@
 			return ro.writeFailure(ctx, wr, ca, last)
 		}
 		if fa.notRun && ca.model > 0 {
-			// Refused for want of room: a weaker answer is better than none.
+			// No capacity for the larger model: the small model's answer is better
+			// than none.
 			ca.model, ca.noEscalation = 0, true
 		}
 	}
 }
 
-// shouldEscalate tells whether an answer that has begun is dropped for one of a shouldEscalate
-// model.
+// shouldEscalate reports whether to discard an answer that has begun and to run
+// the request on the largest model instead.
 func (ro *Router) shouldEscalate(ca *call, an *answer) bool {
 	models := ca.models()
 	if ca.noEscalation || ca.model == len(models)-1 || !an.head.HasConfidence || ca.sends >= ca.route.MaxAttempts || !ca.route.Repeatable() {
@@ -65,7 +66,8 @@
 	return true
 }
 
-// mayRetry decides whether a request whose attempt failed is sent again.
+// mayRetry reports whether a request may be sent again after a failed attempt, and
+// counts the retry.
 func (ro *Router) mayRetry(ctx context.Context, ca *call, fa *failure) bool {
 	if ctx.Err() != nil || ca.sends >= ca.route.MaxAttempts || fa.callerError {
 		return false
@@ -81,7 +83,8 @@
 	return true
 }
 
-// writeFailure gives the last answer to a request that found no good one.
+// writeFailure ends a request after its last attempt failed. It writes the
+// endpoint's own answer if there is one, and returns a refusal otherwise.
 func (ro *Router) writeFailure(ctx context.Context, wr http.ResponseWriter, ca *call, last *failure) *Refusal {
 	now := time.Now()
 	ro.log.Trouble(event.RequestFailed, last.err, event.Fields{
@@ -103,8 +106,9 @@
 	}
 }
 
-// writeEndpointFailure gives the caller an endpoint's own failure. Statuses that promise
-// that a request was not run are the router's alone to give.
+// writeEndpointFailure writes an endpoint's own failure to the caller. Statuses
+// that state that a request was not run are replaced, as only the router can
+// promise that.
 func (ro *Router) writeEndpointFailure(wr http.ResponseWriter, an *answer) {
 	status := an.status
 	switch status {
@@ -115,7 +119,7 @@
 	an.writeBuffered(wr, status)
 }
 
-// deliver passes an answer on.
+// deliver writes an answer to the caller.
 func (ro *Router) deliver(ctx context.Context, wr http.ResponseWriter, ca *call, an *answer) {
 	took := time.Since(ca.request.ReceivedAt)
 	ro.metrics.FirstToken.Record(ctx, took.Seconds())
@@ -134,21 +138,23 @@
 	})
 	ro.metrics.Latency.Record(ctx, time.Since(ca.request.ReceivedAt).Seconds())
 	if outcome == "cut" {
-		// The caller must not take what it has for a whole answer.
+		// Break the connection, so that the caller does not take the part it has
+		// received for a complete answer.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// failure is an attempt without an answer to pass on.
+// failure is the result of an attempt without an answer to deliver.
 type failure struct {
 	err error
-	// notRun tells that the attempt did not run the request.
+	// notRun reports whether the attempt certainly did not run the request.
 	notRun bool
-	// noEndpoint tells that there was no endpoint to send to.
+	// noEndpoint reports whether there was no endpoint to send to.
 	noEndpoint bool
-	// callerError tells that every endpoint would answer so.
+	// callerError reports whether the request itself is at fault, so that every
+	// endpoint would give the same answer.
 	callerError bool
-	// answer is the endpoint's own failure.
+	// answer is the endpoint's failure answer, nil if there is none.
 	answer *answer
 }
 
--- a/relay/session.go
+++ b/relay/session.go
@@ -9,22 +9,23 @@
 	"tanagerpoint.example/tanager/policy"
 )
 
-// maxSessions bounds the sessions that a router remembers.
+// maxSessions is the maximum number of sessions that a router remembers.
 const maxSessions = 16384
 
-// sessions remembers the release that each session ran on last, so that none
-// moves to and fro while a release is on trial.
+// sessions remembers the last release of each session, so that no session switches
+// between releases during a trial.
 type sessions struct {
 	last *lru.Cache[sessionKey, lastRequest]
 }
 
-// sessionKey names a session at a service: the releases of services differ.
+// sessionKey identifies a session at a service, as each service has releases of
+// its own.
 type sessionKey struct {
 	service policy.ServiceID
 	session SessionID
 }
 
-// lastRequest is a session's last request here.
+// lastRequest is the last request of a session at this router.
 type lastRequest struct {
 	release policy.ReleaseID
 	at      time.Time
@@ -38,12 +39,13 @@
 	return &sessions{last: ca}
 }
 
-// record records where a session's request goes.
+// record records the release that a session's request is sent to.
 func (ss *sessions) record(now time.Time, key sessionKey, release policy.ReleaseID) {
 	ss.last.Add(key, lastRequest{release: release, at: now})
 }
 
-// release gives what a session that goes on ran on last; false for a new one.
+// release returns the last release of a session, and false if the session has had
+// no request within the retention period.
 func (ss *sessions) release(now time.Time, key sessionKey, retention time.Duration) (policy.ReleaseID, bool) {
 	lr, ok := ss.last.Get(key)
 	if !ok || now.Sub(lr.at) > retention {
@@ -52,7 +54,7 @@
 	return lr.release, true
 }
 
-// forEachSince visits a service's sessions seen after a time.
+// forEachSince calls visit for each session of a service seen after a time.
 func (ss *sessions) forEachSince(service policy.ServiceID, after time.Time, visit func(id SessionID, lr lastRequest)) {
 	for _, key := range ss.last.Keys() {
 		if lr, ok := ss.last.Peek(key); ok && key.service == service && lr.at.After(after) {
@@ -61,22 +63,23 @@
 	}
 }
 
-// sessionHash is the short name by which routers tell of sessions.
+// sessionHash is a hash of a session's id, by which routers exchange sessions.
 type sessionHash uint32
 
 func hashSession(id SessionID) sessionHash { return sessionHash(xxhash.Sum64String(string(id))) }
 
-// settledSessions are sessions that a trial would take, but that run on the release in
-// use, with when each was last seen: here, or by word of another router.
+// settledSessions holds sessions that would be assigned to the trial by their hash
+// but stay on the release in use, with the time at which each was last seen by
+// this router or published by another one.
 type settledSessions map[sessionHash]time.Time
 
-// record records a session.
+// record records that a session was seen.
 func (st settledSessions) record(now time.Time, ha sessionHash) { st[ha] = now }
 
-// seenSince tells whether a session was seen after a time.
+// seenSince reports whether a session was seen after a time.
 func (st settledSessions) seenSince(ha sessionHash, after time.Time) bool { return st[ha].After(after) }
 
-// prune forgets the sessions not seen after a time.
+// prune removes the sessions not seen after a time.
 func (st settledSessions) prune(after time.Time) {
 	for ha, at := range st {
 		if !at.After(after) {
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -19,25 +19,26 @@
 )
 
 const (
-	// maxEvent bounds one event.
+	// maxEvent is the maximum size of an event in bytes.
 	maxEvent = 1 << 20
-	// callerWriteTimeout is how long a caller may take to read an event.
+	// callerWriteTimeout is the time limit for writing one event to the caller.
 	callerWriteTimeout = 10 * time.Second
 	readBuffer         = 4096
-	// resumePause lets the other endpoints of a crash show that they are gone
-	// too, before one of them is chosen.
+	// resumePause is the delay before a stream is resumed. When several endpoints
+	// crash at once, it leaves time for the others to show that they are down,
+	// before one of them is selected.
 	resumePause = 40 * time.Millisecond
 )
 
 var errTruncatedEvent = eris.New("stream ended within an event")
 
-// streamEvent is one event as it came.
+// streamEvent is one event with its text as received.
 type streamEvent struct {
 	id   EventID
 	text []byte
 }
 
-// eventReader splits a stream into whole events.
+// eventReader splits a stream into complete events.
 type eventReader struct {
 	rd *bufio.Reader
 }
@@ -46,8 +47,8 @@
 	return &eventReader{rd: bufio.NewReaderSize(rd, readBuffer)}
 }
 
-// next gives the next event; io.EOF after the last, errTorn when the stream
-// ended within one.
+// next returns the next event. It returns io.EOF after the last one, and
+// errTruncatedEvent if the stream ends within an event.
 func (er *eventReader) next() (streamEvent, error) {
 	var ev streamEvent
 	for {
@@ -78,22 +79,22 @@
 	}
 }
 
-// streamRelay is a stream on its way to the caller.
+// streamRelay forwards a stream to the caller.
 type streamRelay struct {
 	router      *Router
 	call        *call
 	wr          http.ResponseWriter
 	rc          *http.ResponseController
 	lastEventID EventID
-	// lastWriteAt is when the caller last got an event, longest the longest pause
-	// between two, in milliseconds.
+	// lastWriteAt is when the last event was written to the caller;
+	// longestPauseMs is the longest time between two writes, in milliseconds.
 	lastWriteAt    time.Time
 	longestPauseMs int64
 }
 
-// relayStream passes a stream on as it comes, resuming it elsewhere when its run
-// breaks. It tells whether it was completed, and the longest pause in
-// milliseconds.
+// relayStream forwards a stream to the caller as it arrives, and resumes it at
+// another endpoint if it breaks. It reports whether the stream was completed, and
+// the longest pause between two events in milliseconds.
 func (ro *Router) relayStream(ctx context.Context, wr http.ResponseWriter, ca *call, an *answer) (complete bool, longestMs int64) {
 	sr := &streamRelay{router: ro, call: ca, wr: wr, rc: http.NewResponseController(wr), lastEventID: ca.request.LastEventID}
 	copyHeader(wr.Header(), an.header)
@@ -111,10 +112,11 @@
 	}
 }
 
-// errCallerGone marks a caller that has gone.
+// errCallerGone marks a failure to write to the caller.
 var errCallerGone = eris.New("the caller has gone")
 
-// forward passes one run's events on, nil at the stream's end.
+// forward writes the events of one endpoint's stream to the caller. It returns nil
+// at the end of the stream.
 func (sr *streamRelay) forward(an *answer) error {
 	for ev := an.firstEvent; ; {
 		if len(ev.text) == 0 {
@@ -148,8 +150,8 @@
 	return sr.rc.Flush()
 }
 
-// resume goes on at another endpoint after the last event that the caller has;
-// nil when that is not possible.
+// resume continues the stream at another endpoint after the last event that the
+// caller has received. It returns nil if that is not possible.
 func (sr *streamRelay) resume(ctx context.Context, an *answer, cause error) *answer {
 	ro, ca := sr.router, sr.call
 	if errors.Is(cause, errCallerGone) || errors.Is(ctx.Err(), context.Canceled) {
