--- a/cascade/escalation.go
+++ b/cascade/escalation.go
@@ -2,7 +2,8 @@
 
 const (
 	// idleThreshold is the confidence, from 0 to 100, below which a small model's
-	// answer is discarded when all endpoints are idle.
+	// answer is discarded when all endpoints are idle and the large model needs
+	// no time. Work and backlog lower it.
 	idleThreshold = 85
 	// minThreshold is the lowest threshold: an answer with less confidence is
 	// discarded at any load, if there is time left.
--- a/relay/fleet.go
+++ b/relay/fleet.go
@@ -116,11 +116,11 @@
 	if running.All >= maxLoadPerSlot*int(en.Slots) {
 		return false
 	}
-	most := ca.service.MaxConnections
-	if most == 0 {
+	limit := ca.service.MaxConnections
+	if limit == 0 {
 		return true
 	}
-	return float64(running.Own+1) <= max(1, connectionShare*float64(most)/float64(routers))
+	return float64(running.Own+1) <= max(1, connectionShare*float64(limit)/float64(routers))
 }
 
 // retryAfter returns how long the caller of a request that found no free endpoint
--- a/relay/release.go
+++ b/relay/release.go
@@ -123,17 +123,19 @@
 // which may itself take long.
 const retentionFactor = 2
 
-func splitByRelease(ens []policy.Endpoint, release string) (others, of []policy.Endpoint) {
+func splitByRelease(ens []policy.Endpoint, release string) (others, matching []policy.Endpoint) {
 	for _, en := range ens {
 		if en.Release == release {
-			of = append(of, en)
+			matching = append(matching, en)
 		} else {
 			others = append(others, en)
 		}
 	}
-	return others, of
+	return others, matching
 }
 
+// trialOf returns the trial of a roll-out. It begins a new one if there is none or
+// the last one was of another release. The caller holds mu.
 func (rs *releaseSelector) trialOf(now time.Time, ro policy.Rollout) *trial {
 	id := policy.ServiceID(ro.Service)
 	tr, ok := rs.trials[id]
@@ -149,9 +151,9 @@
 // begins. The caller holds mu.
 func (rs *releaseSelector) recordSettled(now time.Time, ro policy.Rollout, tr *trial) {
 	exposed := rs.router.options().Rollout.GetExposedShare()
-	rs.sessions.forEachSince(policy.ServiceID(ro.Service), now.Add(-rs.sessionRetention()), func(id SessionID, se lastRequest) {
-		if se.release != tr.target && hashFraction(ro.ToVersion, string(id)) < exposed {
-			tr.settledHere.record(se.at, hashSession(id))
+	rs.sessions.forEachSince(policy.ServiceID(ro.Service), now.Add(-rs.sessionRetention()), func(id SessionID, lr lastRequest) {
+		if lr.release != tr.target && hashFraction(ro.ToVersion, string(id)) < exposed {
+			tr.settledHere.record(lr.at, hashSession(id))
 		}
 	})
 }
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -19,11 +19,11 @@
 )
 
 const (
-	// maxEvent is the maximum size of an event in bytes.
-	maxEvent = 1 << 20
+	// maxEventSize is the maximum size of an event in bytes.
+	maxEventSize = 1 << 20
 	// callerWriteTimeout is the time limit for writing one event to the caller.
 	callerWriteTimeout = 10 * time.Second
-	readBuffer         = 4096
+	readBufferSize     = 4096
 	// resumePause is the delay before a stream is resumed. When several endpoints
 	// crash at once, it leaves time for the others to show that they are down,
 	// before one of them is selected.
@@ -44,7 +44,7 @@
 }
 
 func newEventReader(rd io.Reader) *eventReader {
-	return &eventReader{rd: bufio.NewReaderSize(rd, readBuffer)}
+	return &eventReader{rd: bufio.NewReaderSize(rd, readBufferSize)}
 }
 
 // next returns the next event. It returns io.EOF after the last one, and
@@ -54,8 +54,8 @@
 	for {
 		line, err := er.rd.ReadSlice('\n')
 		ev.text = append(ev.text, line...)
-		if len(ev.text) > maxEvent {
-			return streamEvent{}, eris.Errorf("event is larger than %d bytes", maxEvent)
+		if len(ev.text) > maxEventSize {
+			return streamEvent{}, eris.Errorf("event is larger than %d bytes", maxEventSize)
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
 			continue
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -36,8 +36,8 @@
 }
 
 // timeAt returns the time at a fraction of the roll-out's duration.
-func (pl Plan) timeAt(share float64) time.Time {
-	return pl.StartedAt.Add(time.Duration(share * float64(pl.DeadlineAt.Sub(pl.StartedAt))))
+func (pl Plan) timeAt(fraction float64) time.Time {
+	return pl.StartedAt.Add(time.Duration(fraction * float64(pl.DeadlineAt.Sub(pl.StartedAt))))
 }
 
 // Share returns the share of sessions, from 0 to 1, that the new release gets;
