--- a/entry/cascades.go
+++ b/entry/cascades.go
@@ -33,7 +33,7 @@
 }
 
 // choose returns the arm for one request and updates the chooser's state.
-func (ca *cascades) choose(rec policy.Cascade, work cascade.Work, arms []cascade.Arm) cascade.Choice {
+func (ca *cascades) choose(rec policy.Cascade, work cascade.WorkKind, arms []cascade.Arm) cascade.Choice {
 	ca.mu.Lock()
 	defer ca.mu.Unlock()
 	return ca.getLocked(rec.ID).Choose(work, arms, rec.QualityTarget)
@@ -68,7 +68,7 @@
 		}
 		ch := ca.getLocked(policy.CascadeID(it.Key[len(RatingsPrefix):]))
 		for _, su := range ras.GetSums() {
-			ch.SetEstimate(cascade.Work(su.GetWork()), policy.VersionID(su.GetVersion()), su.GetWeight(), su.GetMean())
+			ch.SetEstimate(cascade.WorkKind(su.GetWork()), policy.VersionID(su.GetVersion()), su.GetWeight(), su.GetMean())
 		}
 	}
 	for id := range ca.choosers {
--- a/entry/chat.go
+++ b/entry/chat.go
@@ -23,7 +23,7 @@
 	*request
 	// modelName is the caller's name of a cascade, a model or a version.
 	modelName     string
-	work          cascade.Work
+	work          cascade.WorkKind
 	stream        bool
 	includeUsage  bool
 	maxTokens     int64
@@ -59,7 +59,7 @@
 	body := gjson.ParseBytes(rq.body)
 	ch := &chatRequest{
 		request: rq, modelName: body.Get("model").Str,
-		work:          cascade.Work(co.GetHeader(HeaderWork)),
+		work:          cascade.WorkKind(co.GetHeader(HeaderWork)),
 		stream:        body.Get("stream").Bool(),
 		includeUsage:  body.Get("stream_options.include_usage").Bool(),
 		sessionToken:  co.GetHeader(HeaderSession),
--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -40,7 +40,7 @@
 	rollout policy.Rollout
 	// phase identifies the run of the record that the counts belong to.
 	phase rolloutPhase
-	guard rollout.Guard
+	guard rollout.HealthTest
 	// reason is why the candidate was found bad, "" when it was not.
 	reason string
 }
@@ -91,7 +91,7 @@
 		gu.guard.Stable(ou)
 	case policy.VersionID(rec.ToVersion):
 		gu.guard.Candidate(ou)
-		if gu.reason = gu.guard.Verdict(); gu.reason != "" && !ro.suspects[tg.version.ID] {
+		if gu.reason = gu.guard.RejectionReason(); gu.reason != "" && !ro.suspects[tg.version.ID] {
 			ro.suspects[tg.version.ID] = true
 			ro.log.Warn(event.VersionSuspect, nil, event.Fields{"version": tg.version.ID, "reason": gu.reason})
 		}
--- a/rollout/plan_test.go
+++ b/rollout/plan_test.go
@@ -19,13 +19,14 @@
 	return start.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-func TestShareRisesOnlyAfterATrial(t *testing.T) {
+func TestShareRisesOnlyAfterTrial(t *testing.T) {
 	pl := plan()
 	qt.Assert(t, pl.Share(at(1), 0.1, 1000), qt.Equals, 0.0)
 	qt.Assert(t, pl.Share(at(3), 0.1, 1000), qt.Equals, 0.1)
 	qt.Assert(t, pl.Share(at(12), 0.1, 1000), qt.Equals, 0.1)
 	qt.Assert(t, pl.Share(at(13), 0.1, 1000), qt.Equals, 1.0)
-	// A router that has just started has seen nothing: time alone proves nothing.
+	// A router that has just started has seen hardly any answers: elapsed time
+	// alone must not end the trial.
 	qt.Assert(t, pl.Share(at(23), 0.1, 3), qt.Equals, 0.1)
 }
 
@@ -36,58 +37,60 @@
 		pr   rollout.Progress
 		want rollout.Action
 	}{
-		{"not noted yet", 1, rollout.Progress{}, rollout.ActionStart},
+		{"start not recorded", 1, rollout.Progress{}, rollout.ActionStart},
 		{"on trial", 5, rollout.Progress{Started: true, Answers: 100}, rollout.ActionNone},
-		{"bad", 5, rollout.Progress{Started: true, Bad: "errors", Answers: 9}, rollout.ActionAbort},
-		{"bad before it was noted", 1, rollout.Progress{Bad: "errors"}, rollout.ActionAbort},
-		{"requests just moved", 13, rollout.Progress{Started: true, Answers: 100}, rollout.ActionNone},
-		{"old release still serves", 16, rollout.Progress{Started: true, Answers: 100, StableInFlight: 1}, rollout.ActionNone},
-		{"proved", 16, rollout.Progress{Started: true, Answers: 100}, rollout.ActionComplete},
+		{"bad", 5, rollout.Progress{Started: true, RejectionReason: "errors", Answers: 9}, rollout.ActionAbort},
+		{"bad before the start was recorded", 1, rollout.Progress{RejectionReason: "errors"}, rollout.ActionAbort},
+		{"trial has just ended", 13, rollout.Progress{Started: true, Answers: 100}, rollout.ActionNone},
+		{"old release has requests in flight", 16, rollout.Progress{Started: true, Answers: 100, StableInFlight: 1}, rollout.ActionNone},
+		{"enough answers", 16, rollout.Progress{Started: true, Answers: 100}, rollout.ActionComplete},
 		{"too few answers", 16, rollout.Progress{Started: true, Answers: 10}, rollout.ActionNone},
-		{"time runs out", 22, rollout.Progress{Started: true, Answers: 10, StableInFlight: 3}, rollout.ActionComplete},
-		{"nothing seen", 22, rollout.Progress{Started: true, Answers: 1}, rollout.ActionNone},
-		{"nobody proved it", 25, rollout.Progress{Started: true, Answers: 1}, rollout.ActionAbort},
-		{"proved, but the store was away", 25, rollout.Progress{Started: true, Answers: 100}, rollout.ActionComplete},
+		{"few answers after the forced end", 22, rollout.Progress{Started: true, Answers: 10, StableInFlight: 3}, rollout.ActionComplete},
+		{"too few answers after the forced end", 22, rollout.Progress{Started: true, Answers: 1}, rollout.ActionNone},
+		{"too few answers at the deadline", 25, rollout.Progress{Started: true, Answers: 1}, rollout.ActionAbort},
+		{"enough answers, but no store until the deadline", 25, rollout.Progress{Started: true, Answers: 100}, rollout.ActionComplete},
 	} {
 		tc.pr.Plan = plan()
 		qt.Check(t, tc.pr.Next(at(tc.now)), qt.Equals, tc.want, qt.Commentf("%s", tc.name))
 	}
 }
 
-func TestCountsTellBadFromUnlucky(t *testing.T) {
-	stable := rollout.Counts{Answers: 500, Failures: 70} // a service whose requests often fail
-	qt.Assert(t, rollout.Counts{Answers: 50, Failures: 10}.Worse(stable), qt.IsFalse)
-	qt.Assert(t, rollout.Counts{Answers: 50, Failures: 30}.Worse(stable), qt.IsTrue)
-	qt.Assert(t, rollout.Counts{Answers: 5, Failures: 5}.Worse(rollout.Counts{Answers: 500}), qt.IsFalse)
-	qt.Assert(t, rollout.Counts{Answers: 20, Failures: 6}.Worse(rollout.Counts{Answers: 500}), qt.IsTrue)
+func TestSignificantlyWorse(t *testing.T) {
+	stable := rollout.Counts{Answers: 500, Failures: 70} // a service with a high failure rate
+	qt.Assert(t, rollout.Counts{Answers: 50, Failures: 10}.SignificantlyWorse(stable), qt.IsFalse)
+	qt.Assert(t, rollout.Counts{Answers: 50, Failures: 30}.SignificantlyWorse(stable), qt.IsTrue)
+	qt.Assert(t, rollout.Counts{Answers: 5, Failures: 5}.SignificantlyWorse(rollout.Counts{Answers: 500}), qt.IsFalse)
+	qt.Assert(t, rollout.Counts{Answers: 20, Failures: 6}.SignificantlyWorse(rollout.Counts{Answers: 500}), qt.IsTrue)
 }
 
-// TestLoadOnAGoodReleaseIsNoFailure replays the move of all requests to a good
-// release: its caches are cold, and one wait in twelve is given up, as with the
-// release in use under the same load. It was rolled back on versehall quiet-1.
+// TestLoadOnAGoodReleaseIsNoFailure guards against rolling back a good release
+// because of time-outs under load, as happened on versehall quiet-1. When all
+// requests move to the new release, its caches are cold and one request in twelve
+// times out waiting for the first token; the release in use has similar time-outs
+// under the same load. Time-outs must not count as failures.
 func TestLoadOnAGoodReleaseIsNoFailure(t *testing.T) {
-	var gu rollout.Guard
+	var ht rollout.HealthTest
 	for i := range 400 {
-		gu.Stable(rollout.Outcome{FirstToken: 1 + float64(i%5)/2, Overdue: i%20 == 0})
+		ht.Stable(rollout.Outcome{FirstToken: 1 + float64(i%5)/2, TimedOut: i%20 == 0})
 	}
 	for i := range 300 {
 		ou := rollout.Outcome{FirstToken: 1 + float64(i%5)/2}
 		if i%12 == 0 {
-			ou = rollout.Outcome{Overdue: true}
+			ou = rollout.Outcome{TimedOut: true}
 		}
-		gu.Candidate(ou)
+		ht.Candidate(ou)
 	}
-	qt.Assert(t, gu.Verdict(), qt.Equals, "")
-	qt.Assert(t, gu.Failures, qt.Equals, int64(0))
+	qt.Assert(t, ht.RejectionReason(), qt.Equals, "")
+	qt.Assert(t, ht.Failures, qt.Equals, int64(0))
 }
 
-func TestReleaseThatHangsIsBad(t *testing.T) {
-	var gu rollout.Guard
+func TestHangingReleaseIsRejected(t *testing.T) {
+	var ht rollout.HealthTest
 	for range 100 {
-		gu.Stable(rollout.Outcome{FirstToken: 1})
+		ht.Stable(rollout.Outcome{FirstToken: 1})
 	}
 	for i := range 40 {
-		gu.Candidate(rollout.Outcome{FirstToken: 1, Overdue: i%3 == 0})
+		ht.Candidate(rollout.Outcome{FirstToken: 1, TimedOut: i%3 == 0})
 	}
-	qt.Assert(t, gu.Verdict(), qt.Equals, "slow first token")
+	qt.Assert(t, ht.RejectionReason(), qt.Equals, "slow first token")
 }
--- /dev/null
+++ b/rollout/sequential.go
@@ -0,0 +1,225 @@
+// Package rollout decides whether a candidate version is worse than the one in
+// use.
+//
+// A SequentialTest is a sequential test by betting (Waudby-Smith and Ramdas,
+// 2024). For losses from 0 to 1 whose mean is at most the accepted one, the
+// probability that the wealth of the bets ever exceeds 1/alpha is at most alpha.
+// The test can therefore be evaluated after every answer and stops a bad version
+// early.
+package rollout
+
+import (
+	"math"
+
+	"tanagerpoint.example/tanager/policy"
+)
+
+// alpha is the maximum probability that one test rejects a good version.
+const alpha = 0.003
+
+// bets are the fractions of the wealth that are staked; the test averages over
+// them.
+var bets = [...]float64{0.05, 0.15, 0.4, 0.8}
+
+// SequentialTest accumulates evidence that a mean loss is above the accepted one.
+type SequentialTest struct {
+	// logWealth is the logarithm of the wealth of each bet.
+	logWealth [len(bets)]float64
+}
+
+// Observe adds a loss from 0 to 1. accepted is the largest mean loss of a good
+// version; it is limited to the range from 0.001 to 0.99.
+func (st *SequentialTest) Observe(loss, accepted float64) {
+	accepted = min(0.99, max(0.001, accepted))
+	for i, be := range bets {
+		st.logWealth[i] += math.Log1p(be / accepted * (loss - accepted))
+	}
+}
+
+// LogEvidence returns the logarithm of the mean wealth over all bets.
+func (st *SequentialTest) LogEvidence() float64 {
+	top := st.logWealth[0]
+	for _, lw := range st.logWealth {
+		top = max(top, lw)
+	}
+	sum := 0.0
+	for _, lw := range st.logWealth {
+		sum += math.Exp(lw - top)
+	}
+	return top + math.Log(sum/float64(len(bets)))
+}
+
+// Rejects reports whether the candidate is bad.
+func (st *SequentialTest) Rejects() bool { return st.LogEvidence() > -math.Log(alpha) }
+
+// Baseline estimates the mean loss of the version in use.
+type Baseline struct {
+	count float64
+	mean  float64
+}
+
+// baselineWindow is the number of most recent losses that the baseline averages.
+const baselineWindow = 2000
+
+// Observe adds a loss from 0 to 1.
+func (ba *Baseline) Observe(loss float64) {
+	ba.count = min(baselineWindow, ba.count+1)
+	ba.mean += (loss - ba.mean) / ba.count
+}
+
+// AcceptedLoss returns the largest mean loss of a good candidate: the baseline's
+// mean, two standard errors and a margin. prior is the mean assumed before any
+// loss is observed.
+func (ba *Baseline) AcceptedLoss(prior, margin float64) float64 {
+	const priorWeight = 20
+	mean := (ba.mean*ba.count + prior*priorWeight) / (ba.count + priorWeight)
+	chance := 2 * math.Sqrt(mean*(1-mean)/(ba.count+priorWeight))
+	return mean + chance + margin
+}
+
+const (
+	failurePrior  = 0.005
+	failureMargin = 0.01
+	slowPrior     = 0.05
+	slowMargin    = 0.05
+	// slowFactor is the multiple of the mean time to first token of the version
+	// in use above which an answer is slow.
+	slowFactor = 3
+)
+
+// Outcome is the result of one attempt, as seen by the entry or router.
+type Outcome struct {
+	Failed bool
+	// FirstToken is the time to the first token in seconds, or its ratio to the
+	// expected time; it is 0 when unknown.
+	FirstToken float64
+	// TimedOut reports whether the wait for the first token timed out. This happens
+	// to good versions under load too, so it counts as slow, not as a failure.
+	TimedOut bool
+}
+
+// HealthTest rejects a candidate by errors, silence and slow first tokens, which
+// are visible at once. It is not safe for concurrent use.
+type HealthTest struct {
+	failures       SequentialTest
+	slow           SequentialTest
+	stableFailures Baseline
+	stableSlow     Baseline
+	meanFirstToken float64
+	Answers        int64
+	Failures       int64
+}
+
+// Stable adds an outcome of the version in use.
+func (ht *HealthTest) Stable(ou Outcome) {
+	ht.stableFailures.Observe(loss(ou.Failed))
+	if ou.FirstToken > 0 || ou.TimedOut {
+		ht.stableSlow.Observe(loss(ht.isSlow(ou)))
+	}
+	if ou.FirstToken <= 0 {
+		return
+	}
+	const smoothing = 0.02
+	if ht.meanFirstToken == 0 {
+		ht.meanFirstToken = ou.FirstToken
+	}
+	ht.meanFirstToken += smoothing * (ou.FirstToken - ht.meanFirstToken)
+}
+
+// Candidate adds an outcome of the candidate.
+func (ht *HealthTest) Candidate(ou Outcome) {
+	ht.Answers++
+	if ou.Failed {
+		ht.Failures++
+	}
+	ht.failures.Observe(loss(ou.Failed), ht.stableFailures.AcceptedLoss(failurePrior, failureMargin))
+	if (ou.FirstToken > 0 || ou.TimedOut) && ht.meanFirstToken > 0 {
+		ht.slow.Observe(loss(ht.isSlow(ou)), ht.stableSlow.AcceptedLoss(slowPrior, slowMargin))
+	}
+}
+
+func (ht *HealthTest) isSlow(ou Outcome) bool {
+	return ou.TimedOut || ht.meanFirstToken > 0 && ou.FirstToken > slowFactor*ht.meanFirstToken
+}
+
+// RejectionReason says why the candidate is bad; it returns "" while it is not
+// rejected.
+func (ht *HealthTest) RejectionReason() string {
+	switch {
+	case ht.failures.Rejects():
+		return "errors or silence"
+	case ht.slow.Rejects():
+		return "slow first token"
+	}
+	return ""
+}
+
+func loss(bad bool) float64 {
+	if bad {
+		return 1
+	}
+	return 0
+}
+
+// QualityTest rejects a candidate by ratings. It is not safe for concurrent use.
+type QualityTest struct {
+	test     SequentialTest
+	base     QualityBaseline
+	Answers  int64
+	margin   float64
+	expected float64
+}
+
+// QualityBaseline accumulates the mean and variance of the ratings of the version
+// in use.
+type QualityBaseline struct {
+	count, mean, squares float64
+}
+
+// NewQualityTest returns a test without ratings. expected is the quality that the
+// policy record states for the version in use; margin is the accepted loss of
+// quality.
+func NewQualityTest(expected, margin float64) *QualityTest {
+	return &QualityTest{expected: expected, margin: margin}
+}
+
+// Stable adds a rating, from 0 to 1, of the version in use.
+func (qt *QualityTest) Stable(quality float64) {
+	ba := &qt.base
+	ba.count++
+	delta := quality - ba.mean
+	ba.mean += delta / ba.count
+	ba.squares += delta * (quality - ba.mean)
+}
+
+// Candidate adds a rating, from 0 to 1, of the candidate.
+func (qt *QualityTest) Candidate(quality float64) {
+	qt.Answers++
+	qt.test.Observe(1-quality, 1-qt.acceptedQuality())
+}
+
+// acceptedQuality returns the lowest mean quality of a good candidate: the
+// baseline's mean, less the margin and two standard errors.
+func (qt *QualityTest) acceptedQuality() float64 {
+	const priorWeight = 5
+	mean := (qt.base.mean*qt.base.count + qt.expected*priorWeight) / (qt.base.count + priorWeight)
+	spread := 0.1
+	if qt.base.count > 1 {
+		spread = math.Sqrt(qt.base.squares / (qt.base.count - 1))
+	}
+	return mean - qt.margin - 2*spread/math.Sqrt(qt.base.count+priorWeight)
+}
+
+// Rejects reports whether the candidate is worse than accepted.
+func (qt *QualityTest) Rejects() bool { return qt.test.Rejects() }
+
+// NextShare returns the share of the step after the roll-out's current one. It
+// returns the current share and false at the last step.
+func NextShare(ro policy.Rollout) (float64, bool) {
+	for _, st := range ro.Steps {
+		if st > ro.Share {
+			return st, true
+		}
+	}
+	return ro.Share, false
+}
--- a/router/rollout.go
+++ b/router/rollout.go
@@ -28,7 +28,7 @@
 		if ro.Service == "" || !ro.Active() || da.relay.Draining() {
 			continue
 		}
-		pr := da.relay.Progress(now, ro)
+		pr := da.relay.RolloutProgress(now, ro)
 		ac := pr.Next(now)
 		if ac == rollout.ActionNone {
 			delete(da.dueSince, ro.ID)
@@ -77,7 +77,7 @@
 	case rollout.ActionStart:
 		da.recordState(ctx, ho, ro, rpc.RolloutState_RUNNING, pr.StartedAt, "started")
 	case rollout.ActionAbort:
-		why := pr.Bad
+		why := pr.RejectionReason
 		if why == "" {
 			why = "not proved before the deadline"
 		}
