--- a/cmd/tanager-standin/endpoint.go
+++ b/cmd/tanager-standin/endpoint.go
@@ -24,7 +24,7 @@
 	co.Flags().StringVar(&address, "listen", "127.0.0.1:7610", "address, IP:port")
 	co.Flags().IntVar(&opt.Slots, "slots", 8, "requests in a batch")
 	co.Flags().DurationVar(&opt.Prefill, "prefill", 60*time.Millisecond, "time to the first token")
-	co.Flags().DurationVar(&opt.Token, "token", 15*time.Millisecond, "time between tokens")
+	co.Flags().DurationVar(&opt.TokenInterval, "token", 15*time.Millisecond, "time between tokens")
 	co.Flags().DurationVar(&opt.LoadLag, "load-lag", 2*time.Second, "age of the reported load")
 	co.Flags().IntVar(&opt.CachedPrefixes, "cached-prefixes", 32, "prompt prefixes kept")
 	co.Flags().BoolVar(&opt.ChecksFencing, "checks-fencing", false, "refuse orders with an old fencing token")
--- a/proof/bill_test.go
+++ b/proof/bill_test.go
@@ -84,11 +84,11 @@
 		var wg sync.WaitGroup
 		load(ctx, si, &an, &wg, 1, 2)
 		time.Sleep(time.Second)
-		si.Store.Set(standin.Faults{Down: true})
+		si.Store.SetFaults(standin.Faults{Down: true})
 		time.Sleep(3 * time.Second)
 		si.KillEntry(1)
 		time.Sleep(10 * time.Second)
-		si.Store.Set(standin.Faults{LoseAnswers: 7})
+		si.Store.SetFaults(standin.Faults{LoseAnswers: 7})
 		time.Sleep(2 * time.Second)
 		cancel()
 		wg.Wait()
@@ -108,10 +108,10 @@
 		var wg sync.WaitGroup
 		load(ctx, si, &an, &wg, 1, 2, 3)
 		for range 10 {
-			si.Store.Set(standin.Faults{LoseAnswers: 3})
+			si.Store.SetFaults(standin.Faults{LoseAnswers: 3})
 			time.Sleep(400 * time.Millisecond)
 		}
-		si.Store.Set(standin.Faults{})
+		si.Store.SetFaults(standin.Faults{})
 		cancel()
 		wg.Wait()
 		time.Sleep(10 * time.Second)
@@ -125,7 +125,7 @@
 		for range 10 {
 			an.add(si.Chat(testsite.Call{Entry: 1}))
 		}
-		si.Store.Set(standin.Faults{Down: true})
+		si.Store.SetFaults(standin.Faults{Down: true})
 		for range 10 {
 			an.add(si.Chat(testsite.Call{Entry: 1}))
 		}
@@ -136,7 +136,7 @@
 			si.Net.Cut(testsite.Host(testsite.EntryName(n)), testsite.PeerAddress(1))
 		}
 		si.Net.Cut(testsite.Host(testsite.EntryName(1)), testsite.StoreAddress)
-		si.Store.Set(standin.Faults{})
+		si.Store.SetFaults(standin.Faults{})
 		time.Sleep(12 * time.Second)
 		si.Net.Mend(testsite.Host(testsite.EntryName(1)), testsite.StoreAddress)
 		for n := 2; n <= 3; n++ {
@@ -151,8 +151,8 @@
 
 func TestRetriesAndRepeatedRequestIDsAreBilledOnce(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 2, Engines: 3}, func(t *testing.T, si *testsite.Site) {
-		si.Engines["engine-1"].Set(standin.Faults{FailModel: "m-1"})
-		si.Engines["engine-2"].Set(standin.Faults{FailModel: "m-1"})
+		si.Engines["engine-1"].SetFaults(standin.Faults{FailModel: "m-1"})
+		si.Engines["engine-2"].SetFaults(standin.Faults{FailModel: "m-1"})
 		for range 5 {
 			qt.Assert(t, si.Chat(testsite.Call{Entry: 1}).Status, qt.Equals, 200)
 		}
--- a/proof/claim_test.go
+++ b/proof/claim_test.go
@@ -17,7 +17,7 @@
 func timesRun(si *testsite.Site, key string) int {
 	n := 0
 	for _, pl := range si.Plains {
-		n += pl.Ran()[key]
+		n += pl.RunCounts()[key]
 	}
 	return n
 }
@@ -73,7 +73,7 @@
 	withSite(t, testsite.Options{Entries: 2, Plains: 2}, func(t *testing.T, si *testsite.Site) {
 		for round := range 6 {
 			key := fmt.Sprintf("order-%d", round)
-			si.Store.Set(standin.Faults{LoseAnswers: 1 + round%3})
+			si.Store.SetFaults(standin.Faults{LoseAnswers: 1 + round%3})
 			an := si.Desk(testsite.Call{Entry: 1}, "POST", key, "{}")
 			qt.Assert(t, an.Status == 200 || an.Ran() == entry.NotRun, qt.IsTrue, qt.Commentf("%d %s", an.Status, an.Body))
 			if an.Ran() == entry.NotRun {
@@ -89,7 +89,7 @@
 	for _, fault := range []standin.Faults{{Down: true}, {Freeze: true}} {
 		withSite(t, testsite.Options{Entries: 3, Engines: 1, Plains: 2}, func(t *testing.T, si *testsite.Site) {
 			si.Desk(testsite.Call{Entry: 1}, "POST", "before", "{}")
-			si.Store.Set(fault)
+			si.Store.SetFaults(fault)
 			time.Sleep(5 * time.Second)
 			an := si.Desk(testsite.Call{Entry: 1}, "POST", "order-1", "{}")
 			qt.Assert(t, an.Status, qt.Equals, 503)
@@ -98,7 +98,7 @@
 			qt.Assert(t, timesRun(si, "order-1"), qt.Equals, 0)
 			// What may be repeated is served all the same.
 			qt.Assert(t, si.Chat(testsite.Call{Entry: 2}).Status, qt.Equals, 200)
-			si.Store.Set(standin.Faults{})
+			si.Store.SetFaults(standin.Faults{})
 			qt.Assert(t, settle(si, "order-1").Status, qt.Equals, 200)
 			qt.Assert(t, timesRun(si, "order-1"), qt.Equals, 1)
 		})
@@ -110,11 +110,11 @@
 		si.Desk(testsite.Call{Entry: 1}, "POST", "warm", "{}")
 		// The claim takes effect, its answer is lost, and the store stays away
 		// for longer than the caller waits.
-		si.Store.Set(standin.Faults{LoseAnswers: 1000})
+		si.Store.SetFaults(standin.Faults{LoseAnswers: 1000})
 		an := si.Desk(testsite.Call{Entry: 1}, "POST", "order-1", "{}")
 		qt.Assert(t, an.Ran(), qt.Equals, entry.NotRun)
 		qt.Assert(t, timesRun(si, "order-1"), qt.Equals, 0)
-		si.Store.Set(standin.Faults{})
+		si.Store.SetFaults(standin.Faults{})
 		time.Sleep(5 * time.Second)
 		qt.Assert(t, si.Desk(testsite.Call{Entry: 2}, "POST", "order-1", "{}").Status, qt.Equals, 200)
 		qt.Assert(t, timesRun(si, "order-1"), qt.Equals, 1)
@@ -123,7 +123,7 @@
 
 func TestEntryKilledDuringACallLeavesItsOutcomeUnknown(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 3, Plains: 1}, func(t *testing.T, si *testsite.Site) {
-		si.Plains["desk-1"].Set(standin.Faults{DelayMS: 300})
+		si.Plains["desk-1"].SetFaults(standin.Faults{DelayMS: 300})
 		var wg sync.WaitGroup
 		wg.Go(func() { si.Desk(testsite.Call{Entry: 1}, "POST", "order-1", "{}") })
 		time.Sleep(150 * time.Millisecond)
@@ -146,17 +146,17 @@
 	faults := map[string]func(si *testsite.Site){
 		"service breaks the connection after it ran": func(si *testsite.Site) {
 			for _, pl := range si.Plains {
-				pl.Set(standin.Faults{LoseAnswers: 1})
+				pl.SetFaults(standin.Faults{LoseAnswers: 1})
 			}
 		},
 		"service never answers": func(si *testsite.Site) {
 			for _, pl := range si.Plains {
-				pl.Set(standin.Faults{Freeze: true})
+				pl.SetFaults(standin.Faults{Freeze: true})
 			}
 		},
 		"service breaks every connection at once": func(si *testsite.Site) {
 			for _, pl := range si.Plains {
-				pl.Set(standin.Faults{Down: true})
+				pl.SetFaults(standin.Faults{Down: true})
 			}
 		},
 		"open connections go silent": func(si *testsite.Site) {
@@ -176,7 +176,7 @@
 						qt.Assert(t, timesRun(si, key), qt.Equals, 0)
 					}
 					for _, pl := range si.Plains {
-						pl.Set(standin.Faults{})
+						pl.SetFaults(standin.Faults{})
 					}
 					if key != "" {
 						settle(si, key)
--- a/proof/configuration_test.go
+++ b/proof/configuration_test.go
@@ -71,7 +71,7 @@
 			si.StartEntry(3)
 		}},
 		"store loses the answer of the change": {inForceLimit, func(si *testsite.Site) {
-			si.Store.Set(standin.Faults{LoseAnswers: 2})
+			si.Store.SetFaults(standin.Faults{LoseAnswers: 2})
 		}},
 	}
 	for name, ca := range cases {
@@ -90,7 +90,7 @@
 	withSite(t, testsite.Options{Entries: 3, Engines: 1}, func(t *testing.T, si *testsite.Site) {
 		revision := si.Apply(describe(1))
 		si.Eventually(quietLimit, "in force", inForce(si, revision, 1, 2, 3))
-		si.Store.Set(standin.Faults{Down: true})
+		si.Store.SetFaults(standin.Faults{Down: true})
 		time.Sleep(5 * time.Second)
 		si.KillEntry(2)
 		si.StartEntry(2)
@@ -235,11 +235,11 @@
 func TestLostAnswerOfAChangeIsNeitherDoubledNorFalselyFailed(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 1, Engines: 1}, func(t *testing.T, si *testsite.Site) {
 		for n := 1; n <= 4; n++ {
-			si.Store.Set(standin.Faults{LoseAnswers: n})
+			si.Store.SetFaults(standin.Faults{LoseAnswers: n})
 			rs, err := si.TryApply("operator-a", describe(n))
 			qt.Assert(t, err, qt.IsNil)
 			qt.Assert(t, rs.Revision > 0, qt.IsTrue)
-			si.Store.Set(standin.Faults{})
+			si.Store.SetFaults(standin.Faults{})
 			wr, cl := si.Writer("reader")
 			res, err := wr.History(t.Context(), "model/m")
 			cl.Close()
@@ -275,7 +275,7 @@
 
 func TestStoreOutageDoesNotStopService(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 3, Engines: 2}, func(t *testing.T, si *testsite.Site) {
-		si.Store.Set(standin.Faults{Freeze: true})
+		si.Store.SetFaults(standin.Faults{Freeze: true})
 		for range 60 {
 			for n := 1; n <= 3; n++ {
 				an := si.Chat(testsite.Call{Entry: n})
--- a/proof/history_test.go
+++ b/proof/history_test.go
@@ -82,10 +82,10 @@
 			}
 			rng := rand.New(rand.NewPCG(seed, 99))
 			for range 6 {
-				si.Store.Set([]standin.Faults{{LoseAnswers: 2}, {}, {DelayMS: 50}, {Down: true}}[rng.IntN(4)])
+				si.Store.SetFaults([]standin.Faults{{LoseAnswers: 2}, {}, {DelayMS: 50}, {Down: true}}[rng.IntN(4)])
 				time.Sleep(time.Duration(100+rng.IntN(300)) * time.Millisecond)
 			}
-			si.Store.Set(standin.Faults{})
+			si.Store.SetFaults(standin.Faults{})
 			wg.Wait()
 			qt.Assert(t, len(history) > 10, qt.IsTrue)
 			qt.Assert(t, porcupine.CheckOperations(recordModel, history), qt.IsTrue, qt.Commentf("seed %d: %v", seed, history))
--- a/proof/limit_test.go
+++ b/proof/limit_test.go
@@ -35,7 +35,7 @@
 			qt.Assert(t, an.Body, qt.Contains, ca.code)
 			qt.Assert(t, an.Ran(), qt.Equals, entry.NotRun)
 		}
-		qt.Assert(t, si.Engines["engine-1"].Ran(), qt.HasLen, 0)
+		qt.Assert(t, si.Engines["engine-1"].Runs(), qt.HasLen, 0)
 	})
 }
 
@@ -149,12 +149,12 @@
 		received, sent := 0, func() int {
 			n := 0
 			for _, en := range si.Engines {
-				n += len(en.Ran())
+				n += len(en.Runs())
 			}
 			return n
 		}
 		failed := 0
-		si.Engines["engine-1"].Set(standin.Faults{Freeze: true})
+		si.Engines["engine-1"].SetFaults(standin.Faults{Freeze: true})
 		for i := range 300 {
 			received++
 			an := si.Chat(testsite.Call{Entry: 1 + i%2, Prompt: fmt.Sprint("sheet ", i)})
--- a/proof/moment_test.go
+++ b/proof/moment_test.go
@@ -16,8 +16,8 @@
 // seconds are the faults that come together with a kill.
 var seconds = map[string]func(si *testsite.Site){
 	"alone":               func(*testsite.Site) {},
-	"store loses answers": func(si *testsite.Site) { si.Store.Set(standin.Faults{LoseAnswers: 3}) },
-	"store goes down":     func(si *testsite.Site) { si.Store.Set(standin.Faults{Down: true}) },
+	"store loses answers": func(si *testsite.Site) { si.Store.SetFaults(standin.Faults{LoseAnswers: 3}) },
+	"store goes down":     func(si *testsite.Site) { si.Store.SetFaults(standin.Faults{Down: true}) },
 	"another entry dies":  func(si *testsite.Site) { si.KillEntry(2) },
 	"links go silent": func(si *testsite.Site) {
 		for n := 1; n <= 4; n++ {
@@ -29,7 +29,7 @@
 }
 
 // mend ends the second fault.
-func mend(si *testsite.Site) { si.Store.Set(standin.Faults{}) }
+func mend(si *testsite.Site) { si.Store.SetFaults(standin.Faults{}) }
 
 // TestKillAtEveryMomentOfACall kills the entry that runs a call at each of many
 // moments, from before the claim to after the answer, alone and with a second
@@ -41,8 +41,8 @@
 			withSite(t, testsite.Options{Entries: 4, Plains: 1}, func(t *testing.T, si *testsite.Site) {
 				for moment := time.Duration(0); moment <= 64*time.Millisecond; moment += 4 * time.Millisecond {
 					key := fmt.Sprint("order-", moment)
-					si.Store.Set(standin.Faults{DelayMS: 10})
-					si.Plains["desk-1"].Set(standin.Faults{DelayMS: 10})
+					si.Store.SetFaults(standin.Faults{DelayMS: 10})
+					si.Plains["desk-1"].SetFaults(standin.Faults{DelayMS: 10})
 					var an testsite.Answer
 					var wg sync.WaitGroup
 					wg.Go(func() { an = si.Desk(testsite.Call{Entry: 1}, "POST", key, "{}") })
--- a/proof/steward_test.go
+++ b/proof/steward_test.go
@@ -63,7 +63,7 @@
 	faults := map[string]func(si *testsite.Site){
 		"errors": func(si *testsite.Site) {
 			for _, en := range si.Engines {
-				en.Set(standin.Faults{FailModel: "m-2"})
+				en.SetFaults(standin.Faults{FailModel: "m-2"})
 			}
 		},
 		"rated 0.3 below": func(si *testsite.Site) { si.Rating.SetQuality("m-2", 0.5) },
@@ -98,12 +98,12 @@
 func TestEntriesStopABadVersionWithoutStewards(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 3, Engines: 3}, func(t *testing.T, si *testsite.Site) {
 		for _, en := range si.Engines {
-			en.Set(standin.Faults{FailModel: "m-2"})
+			en.SetFaults(standin.Faults{FailModel: "m-2"})
 		}
-		si.Store.Set(standin.Faults{})
+		si.Store.SetFaults(standin.Faults{})
 		si.Apply(rolloutAt(0.5))
 		time.Sleep(quietLimit)
-		si.Store.Set(standin.Faults{Down: true})
+		si.Store.SetFaults(standin.Faults{Down: true})
 		bad, served := 0, 0
 		for i := range 200 {
 			an := si.Chat(testsite.Call{Entry: 1 + i%3})
@@ -204,7 +204,7 @@
 func TestOrdersToEngines(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		t.Run(fmt.Sprintf("checks fencing %t", checks), func(t *testing.T) {
-			engine := standin.EngineOptions{Slots: 8, Prefill: 10 * time.Millisecond, Token: 5 * time.Millisecond, ChecksFencing: checks}
+			engine := standin.EngineOptions{Slots: 8, Prefill: 10 * time.Millisecond, TokenInterval: 5 * time.Millisecond, ChecksFencing: checks}
 			withSite(t, testsite.Options{
 				Entries: 1, Stewards: 2, Engines: 3, Engine: engine,
 				Records: []string{
@@ -270,7 +270,7 @@
 		for round := range 6 {
 			switch round % 3 {
 			case 0:
-				si.Store.Set(standin.Faults{LoseAnswers: 5})
+				si.Store.SetFaults(standin.Faults{LoseAnswers: 5})
 			case 1:
 				cutOff(si, 1+round%4)
 			case 2:
--- a/proof/stream_test.go
+++ b/proof/stream_test.go
@@ -17,13 +17,13 @@
 func TestBrokenAndSilentStreamsGoOnWhole(t *testing.T) {
 	faults := map[string]func(si *testsite.Site){
 		"engine breaks the connection": func(si *testsite.Site) {
-			si.Engines["engine-1"].Set(standin.Faults{CutAfter: 5, CutStreams: 1})
+			si.Engines["engine-1"].SetFaults(standin.Faults{CutAfter: 5, CutStreams: 1})
 		},
 		"engine breaks it twice": func(si *testsite.Site) {
-			si.Engines["engine-1"].Set(standin.Faults{CutAfter: 3, CutStreams: 2})
+			si.Engines["engine-1"].SetFaults(standin.Faults{CutAfter: 3, CutStreams: 2})
 		},
 		"engine goes silent": func(si *testsite.Site) {
-			si.Engines["engine-1"].Set(standin.Faults{SilentAfter: 4, SilentStreams: 1})
+			si.Engines["engine-1"].SetFaults(standin.Faults{SilentAfter: 4, SilentStreams: 1})
 		},
 	}
 	for name, fault := range faults {
@@ -34,7 +34,7 @@
 					an := si.Chat(testsite.Call{Tokens: 20, Stream: stream})
 					qt.Assert(t, an.Whole, qt.IsTrue, qt.Commentf("%s", an.Body))
 					qt.Assert(t, an.Text, qt.Equals, testsite.WholeText("m-1", 20))
-					qt.Assert(t, len(si.Engines["engine-1"].Ran()), qt.Equals, 1)
+					qt.Assert(t, len(si.Engines["engine-1"].Runs()), qt.Equals, 1)
 					qt.Assert(t, si.State(1).StreamsResumed > 0, qt.IsTrue)
 				})
 			})
@@ -61,7 +61,7 @@
 func TestCrossedAnswersAreDropped(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 1, Engines: 2, EntrySettings: alone()}, func(t *testing.T, si *testsite.Site) {
 		for _, en := range si.Engines {
-			en.Set(standin.Faults{CrossAnswers: 1})
+			en.SetFaults(standin.Faults{CrossAnswers: 1})
 		}
 		for range 4 {
 			an := si.Chat(testsite.Call{Tokens: 5, Stream: true, Prompt: fmt.Sprint(time.Now())})
@@ -93,7 +93,7 @@
 		}
 		for range 20 {
 			for n := 1; n <= 3; n++ {
-				si.Engines[fmt.Sprintf("engine-%d", n)].Set(standin.Faults{CutAfter: 2, CutStreams: 2})
+				si.Engines[fmt.Sprintf("engine-%d", n)].SetFaults(standin.Faults{CutAfter: 2, CutStreams: 2})
 				si.Net.Silence(testsite.Host(testsite.EntryName(n)), testsite.EngineAddress(n))
 			}
 			time.Sleep(200 * time.Millisecond)
@@ -258,7 +258,7 @@
 			qt.Assert(t, stored[id], qt.IsTrue, qt.Commentf("bill %s is missing", id))
 		}
 		for _, pl := range si.Plains {
-			for key, n := range pl.Ran() {
+			for key, n := range pl.RunCounts() {
 				qt.Assert(t, n, qt.Equals, 1, qt.Commentf("%s", key))
 			}
 		}
--- a/proof/version_test.go
+++ b/proof/version_test.go
@@ -18,7 +18,7 @@
 func lastRun(si *testsite.Site, model string) time.Time {
 	var last time.Time
 	for _, en := range si.Engines {
-		for _, ra := range en.Ran() {
+		for _, ra := range en.Runs() {
 			if ra.Model == model && ra.ReceivedAt.After(last) {
 				last = ra.ReceivedAt
 			}
@@ -57,7 +57,7 @@
 // TestWithdrawnWhileQueuedRunsElsewhere holds requests in the queue, withdraws
 // their version, and then lets them go.
 func TestWithdrawnWhileQueuedRunsElsewhere(t *testing.T) {
-	slow := standin.EngineOptions{Slots: 8, Prefill: 20 * time.Millisecond, Token: 20 * time.Millisecond, CachedPrefixes: 4}
+	slow := standin.EngineOptions{Slots: 8, Prefill: 20 * time.Millisecond, TokenInterval: 20 * time.Millisecond, CachedPrefixes: 4}
 	withSite(t, testsite.Options{Entries: 2, Engines: 1, Engine: slow}, func(t *testing.T, si *testsite.Site) {
 		var wg sync.WaitGroup
 		var mu sync.Mutex
@@ -86,7 +86,7 @@
 		// The first attempts stay without an answer; the version is withdrawn
 		// before their retries.
 		for _, en := range si.Engines {
-			en.Set(standin.Faults{Freeze: true})
+			en.SetFaults(standin.Faults{Freeze: true})
 		}
 		var wg sync.WaitGroup
 		wg.Go(func() {
@@ -97,7 +97,7 @@
 		time.Sleep(200 * time.Millisecond)
 		si.Apply(testsite.Record("version", "m-1", `{"model":"m","state":"WITHDRAWN"}`), testsite.Record("model", "m", `{"stable_version":"m-2"}`))
 		for _, en := range si.Engines {
-			en.Set(standin.Faults{})
+			en.SetFaults(standin.Faults{})
 		}
 		wg.Wait()
 		qt.Assert(t, lastRun(si, "m-1").IsZero(), qt.IsTrue)
@@ -241,7 +241,7 @@
 				cancel()
 				wg.Wait()
 				last := time.Time{}
-				for _, ra := range si.Engines["engine-1"].Ran() {
+				for _, ra := range si.Engines["engine-1"].Runs() {
 					if ra.ReceivedAt.After(last) {
 						last = ra.ReceivedAt
 					}
--- a/router/change_test.go
+++ b/router/change_test.go
@@ -56,7 +56,7 @@
 func TestRouterStartsWithoutStore(t *testing.T) {
 	withSite(t, testsite.RouterOptions{Routers: 2, Plains: 1}, func(t *testing.T, rs *testsite.RouterSite) {
 		rs.KillRouter(2)
-		rs.Store.Set(standin.Faults{Down: true})
+		rs.Store.SetFaults(standin.Faults{Down: true})
 		rs.StartRouter(2)
 		rs.Eventually(3*time.Second, "the restarted router is ready", func() bool { return rs.Ready(2) })
 		qt.Assert(t, do(rs, request{router: 2, id: "a", path: testsite.SafeRoute}).status, qt.Equals, http.StatusOK)
@@ -148,12 +148,12 @@
 // back; then only the replica that registered again does.
 func TestLapsedRegistrationsAreKeptDuringGrace(t *testing.T) {
 	withSite(t, testsite.RouterOptions{Routers: 2, Plains: 2}, func(t *testing.T, rs *testsite.RouterSite) {
-		rs.Store.Set(standin.Faults{Down: true})
+		rs.Store.SetFaults(standin.Faults{Down: true})
 		time.Sleep(6 * time.Second)
 		qt.Assert(t, do(rs, request{id: "a", path: testsite.SafeRoute}).status, qt.Equals, http.StatusOK)
 		rs.Unregister(testsite.PlainGroup, 1, "v1")
 		rs.Unregister(testsite.PlainGroup, 2, "v1")
-		rs.Store.Set(standin.Faults{})
+		rs.Store.SetFaults(standin.Faults{})
 		for n := range 12 {
 			time.Sleep(100 * time.Millisecond)
 			qt.Assert(t, do(rs, request{id: fmt.Sprint("b", n), path: testsite.SafeRoute}).status, qt.Equals, http.StatusOK)
--- a/router/recovery_test.go
+++ b/router/recovery_test.go
@@ -56,7 +56,7 @@
 func TestAllRoutersRestartDuringStoreOutage(t *testing.T) {
 	const routers = 3
 	withSite(t, testsite.RouterOptions{Routers: routers, Plains: 2}, func(t *testing.T, rs *testsite.RouterSite) {
-		rs.Store.Set(standin.Faults{Down: true})
+		rs.Store.SetFaults(standin.Faults{Down: true})
 		restartAll(rs, routers)
 		for n := range 9 {
 			an := do(rs, request{router: 1 + n%routers, id: fmt.Sprint("away", n), path: testsite.SafeRoute})
@@ -64,7 +64,7 @@
 			qt.Assert(t, an.header.Get("Retry-After"), qt.Not(qt.Equals), "")
 			time.Sleep(500 * time.Millisecond)
 		}
-		rs.Store.Set(standin.Faults{})
+		rs.Store.SetFaults(standin.Faults{})
 		rs.Eventually(recoveryLimit, "all serve again", rs.AllReady)
 		for n := 1; n <= routers; n++ {
 			qt.Assert(t, do(rs, request{router: n, id: fmt.Sprint("back", n), path: testsite.SafeRoute}).status, qt.Equals, http.StatusOK)
@@ -96,7 +96,7 @@
 		t.Run(fmt.Sprint(late, " late writes"), func(t *testing.T) {
 			withSite(t, testsite.RouterOptions{Routers: 3, Plains: 2}, func(t *testing.T, rs *testsite.RouterSite) {
 				rs.OrderRollout(testsite.PlainGroup, "v2", rolloutLimit)
-				rs.Store.Set(standin.Faults{LateWrites: late, LateMS: 6000, LateAbout: "status/rollout/"})
+				rs.Store.SetFaults(standin.Faults{LateWrites: late, LateMS: 6000, LateAbout: "status/rollout/"})
 				addRelease(rs, standin.ReplicaFaults{Status: 500})
 				ordered := time.Now()
 				for rs.RolloutState(testsite.PlainGroup) != "rolled_back" && time.Since(ordered) < 8*time.Second {
--- a/router/rollout_test.go
+++ b/router/rollout_test.go
@@ -40,7 +40,7 @@
 // addRelease starts two plain replicas of release v2 with faults.
 func addRelease(rs *testsite.RouterSite, fa standin.ReplicaFaults) {
 	for n := 1; n <= 2; n++ {
-		rs.AddReplica(testsite.PlainGroup, n, "v2").Set(fa)
+		rs.AddReplica(testsite.PlainGroup, n, "v2").SetFaults(fa)
 	}
 }
 
@@ -104,8 +104,8 @@
 			rs.StartRouter(n)
 		}
 		re := rs.Replicas[testsite.ReplicaID(testsite.PlainGroup, 1, "v2")]
-		re.Set(standin.ReplicaFaults{Status: 500})
-		rs.Replicas[testsite.ReplicaID(testsite.PlainGroup, 2, "v2")].Set(standin.ReplicaFaults{Status: 500})
+		re.SetFaults(standin.ReplicaFaults{Status: 500})
+		rs.Replicas[testsite.ReplicaID(testsite.PlainGroup, 2, "v2")].SetFaults(standin.ReplicaFaults{Status: 500})
 		time.Sleep(time.Second)
 		sendLoad(rs, 5*time.Second, 2)
 		qt.Assert(t, rs.RolloutState(testsite.PlainGroup), qt.Equals, "rolled_back")
--- a/router/serve_test.go
+++ b/router/serve_test.go
@@ -107,7 +107,7 @@
 // setFaults sets the faults of all replicas.
 func setFaults(rs *testsite.RouterSite, fa standin.ReplicaFaults) {
 	for _, re := range rs.Replicas {
-		re.Set(fa)
+		re.SetFaults(fa)
 	}
 }
 
@@ -177,7 +177,7 @@
 // The router must not send the request again, and must not tell the caller that it
 // was not run.
 func TestUnsafeRequestRunsOnce(t *testing.T) {
-	for name, fa := range map[string]standin.ReplicaFaults{"torn": {Torn: true}, "silent": {Silent: true}, "crossed": {Crossed: "other"}, "busy status": {Status: http.StatusServiceUnavailable}} {
+	for name, fa := range map[string]standin.ReplicaFaults{"torn": {Truncated: true}, "silent": {Silent: true}, "crossed": {OtherRequestID: "other"}, "busy status": {Status: http.StatusServiceUnavailable}} {
 		t.Run(name, func(t *testing.T) {
 			withSite(t, testsite.RouterOptions{Routers: 1, Plains: 3}, func(t *testing.T, rs *testsite.RouterSite) {
 				setFaults(rs, fa)
@@ -207,10 +207,10 @@
 // TestSafeRequestIsRetriedOnAnotherReplica has one replica of two fail in various
 // ways. The caller must get the other one's answer.
 func TestSafeRequestIsRetriedOnAnotherReplica(t *testing.T) {
-	for name, fa := range map[string]standin.ReplicaFaults{"torn": {Torn: true}, "crossed": {Crossed: "other"}, "failing": {Status: 500}, "refusing": {NotRun: true}, "silent": {Silent: true}, "unsigned": {Unsigned: true}} {
+	for name, fa := range map[string]standin.ReplicaFaults{"torn": {Truncated: true}, "crossed": {OtherRequestID: "other"}, "failing": {Status: 500}, "refusing": {NotRun: true}, "silent": {Silent: true}, "unsigned": {Unsigned: true}} {
 		t.Run(name, func(t *testing.T) {
 			withSite(t, testsite.RouterOptions{Routers: 1, Plains: 2}, func(t *testing.T, rs *testsite.RouterSite) {
-				rs.Replicas[testsite.ReplicaID(testsite.PlainGroup, 1, "v1")].Set(fa)
+				rs.Replicas[testsite.ReplicaID(testsite.PlainGroup, 1, "v1")].SetFaults(fa)
 				for n := range 6 {
 					an := do(rs, request{id: fmt.Sprint(n), path: testsite.SafeRoute + "x", method: http.MethodGet})
 					qt.Assert(t, an.status, qt.Equals, http.StatusOK)
@@ -269,7 +269,7 @@
 		defer cancel()
 		an := do(rs, request{id: "a", path: testsite.EngineRoute + "x", ctx: ctx})
 		qt.Assert(t, an.err, qt.IsNotNil)
-		rs.Eventually(200*time.Millisecond, "the run ends", func() bool { return runsOfRequest(rs, "a")[0].Left })
+		rs.Eventually(200*time.Millisecond, "the run ends", func() bool { return runsOfRequest(rs, "a")[0].Disconnected })
 		time.Sleep(time.Second)
 		qt.Assert(t, runsOfRequest(rs, "a"), qt.HasLen, 1)
 	})
--- a/soak/router_test.go
+++ b/soak/router_test.go
@@ -176,10 +176,10 @@
 		{"refuse", func() { px.set(true, 0) }},
 		{"delay", func() { px.set(false, 100*time.Millisecond) }},
 		{"mend link", func() { px.set(false, 0) }},
-		{"store down", func() { rs.store.Set(standin.Faults{Down: true}) }},
-		{"store frozen", func() { rs.store.Set(standin.Faults{Freeze: true}) }},
-		{"store loses", func() { rs.store.Set(standin.Faults{LoseAnswers: 3}) }},
-		{"store well", func() { rs.store.Set(standin.Faults{}) }},
+		{"store down", func() { rs.store.SetFaults(standin.Faults{Down: true}) }},
+		{"store frozen", func() { rs.store.SetFaults(standin.Faults{Freeze: true}) }},
+		{"store loses", func() { rs.store.SetFaults(standin.Faults{LoseAnswers: 3}) }},
+		{"store well", func() { rs.store.SetFaults(standin.Faults{}) }},
 		{"store forgets", rs.store.Compact},
 		{"replica", rs.replicaFault},
 		{"replica", rs.replicaFault},
@@ -193,10 +193,10 @@
 }
 
 func (rs *routerSite) replicaFault() {
-	kinds := []standin.ReplicaFaults{{}, {}, {Status: 500}, {NotRun: true}, {CutAfter: 3}, {Silent: true}, {Crossed: "other"}, {Torn: true}}
+	kinds := []standin.ReplicaFaults{{}, {}, {Status: 500}, {NotRun: true}, {CutAfter: 3}, {Silent: true}, {OtherRequestID: "other"}, {Truncated: true}}
 	for _, re := range rs.replicas {
 		if rs.rng.IntN(3) == 0 {
-			re.Set(kinds[rs.rng.IntN(len(kinds))])
+			re.SetFaults(kinds[rs.rng.IntN(len(kinds))])
 		}
 	}
 }
@@ -251,9 +251,9 @@
 
 // calm ends all faults.
 func (rs *routerSite) calm() {
-	rs.store.Set(standin.Faults{})
+	rs.store.SetFaults(standin.Faults{})
 	for _, re := range rs.replicas {
-		re.Set(standin.ReplicaFaults{})
+		re.SetFaults(standin.ReplicaFaults{})
 	}
 	for _, px := range rs.proxies {
 		px.set(false, 0)
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -29,9 +29,9 @@
 	// Prefill is the time to the first token with an empty batch; a cached
 	// prefix halves it.
 	Prefill time.Duration
-	// Token is the time between tokens with an empty batch; a full batch
+	// TokenInterval is the time between tokens with an empty batch; a full batch
 	// doubles it.
-	Token time.Duration
+	TokenInterval time.Duration
 	// LoadLag is the age of the load that is reported.
 	LoadLag time.Duration
 	// CachedPrefixes is how many prompt prefixes are kept.
@@ -40,8 +40,8 @@
 	ChecksFencing bool
 }
 
-// Ran is one request that an engine started to run.
-type Ran struct {
+// EngineRun is one request that an engine started to run.
+type EngineRun struct {
 	Attempt string
 	Model   string
 	// ReceivedAt is when the request came, At when it was started.
@@ -51,7 +51,7 @@
 
 // Engine stands in for a model engine.
 type Engine struct {
-	Switch
+	FaultInjector
 
 	opt EngineOptions
 
@@ -60,7 +60,7 @@
 	waiting  waitHeap
 	answers  map[string]*answer
 	kept     []string
-	ran      []Ran
+	ran      []EngineRun
 	reported []loadReport
 	prefixes []string
 	fence    int64
@@ -103,11 +103,11 @@
 	return &Engine{opt: opt, answers: map[string]*answer{}, loaded: map[string]bool{}}
 }
 
-// Ran lists the requests that the engine started.
-func (en *Engine) Ran() []Ran {
+// Runs lists the requests that the engine started.
+func (en *Engine) Runs() []EngineRun {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	return append([]Ran(nil), en.ran...)
+	return append([]EngineRun(nil), en.ran...)
 }
 
 // Orders lists the orders carried out.
@@ -209,14 +209,14 @@
 	en.running++
 	now := time.Now()
 	en.report(now)
-	en.ran = append(en.ran, Ran{Attempt: an.id, Model: an.model, ReceivedAt: an.received, At: now})
+	en.ran = append(en.ran, EngineRun{Attempt: an.id, Model: an.model, ReceivedAt: an.received, At: now})
 	fullness := float64(en.running) / float64(en.opt.Slots)
 	an.startAt = now
 	an.first = en.opt.Prefill
 	if en.cached(an.model + an.prompt) {
 		an.first /= 2
 	}
-	an.interval = time.Duration(float64(en.opt.Token) * (1 + fullness))
+	an.interval = time.Duration(float64(en.opt.TokenInterval) * (1 + fullness))
 	lasts := an.first + time.Duration(an.tokens)*an.interval
 	an.end = time.AfterFunc(lasts, en.finish)
 	close(an.started)
--- a/standin/fault.go
+++ b/standin/fault.go
@@ -47,8 +47,8 @@
 	CrossAnswers int `json:"cross_answers"`
 }
 
-// Switch holds the faults in force.
-type Switch struct {
+// FaultInjector holds the faults in force.
+type FaultInjector struct {
 	mu     sync.Mutex
 	faults Faults
 	// losable tells which requests LoseAnswers and LateWrites are for; nil: every
@@ -56,22 +56,22 @@
 	losable func(rq *http.Request) bool
 }
 
-// Set replaces the faults.
-func (sw *Switch) Set(fa Faults) {
+// SetFaults replaces the faults.
+func (sw *FaultInjector) SetFaults(fa Faults) {
 	sw.mu.Lock()
 	defer sw.mu.Unlock()
 	sw.faults = fa
 }
 
 // Faults gives the faults in force.
-func (sw *Switch) Faults() Faults {
+func (sw *FaultInjector) Faults() Faults {
 	sw.mu.Lock()
 	defer sw.mu.Unlock()
 	return sw.faults
 }
 
 // take lowers a counter and tells whether it was above zero.
-func (sw *Switch) take(counter func(fa *Faults) *int) bool {
+func (sw *FaultInjector) take(counter func(fa *Faults) *int) bool {
 	sw.mu.Lock()
 	defer sw.mu.Unlock()
 	n := counter(&sw.faults)
@@ -83,7 +83,7 @@
 }
 
 // Wrap puts the faults before a handler.
-func (sw *Switch) Wrap(ha http.Handler) http.Handler {
+func (sw *FaultInjector) Wrap(ha http.Handler) http.Handler {
 	return http.HandlerFunc(func(wr http.ResponseWriter, rq *http.Request) {
 		if rq.URL.Path == FaultPath {
 			sw.order(wr, rq)
@@ -128,20 +128,20 @@
 	time.AfterFunc(late, func() { ha.ServeHTTP(httptest.NewRecorder(), later) })
 }
 
-func (sw *Switch) isWrite(rq *http.Request) bool {
+func (sw *FaultInjector) isWrite(rq *http.Request) bool {
 	if sw.losable != nil {
 		return sw.losable(rq)
 	}
 	return rq.Method == http.MethodPost
 }
 
-func (sw *Switch) order(wr http.ResponseWriter, rq *http.Request) {
+func (sw *FaultInjector) order(wr http.ResponseWriter, rq *http.Request) {
 	var fa Faults
 	if err := json.NewDecoder(rq.Body).Decode(&fa); err != nil {
 		http.Error(wr, err.Error(), http.StatusBadRequest)
 		return
 	}
-	sw.Set(fa)
+	sw.SetFaults(fa)
 }
 
 func readJSON(wr http.ResponseWriter, rq *http.Request, into any) bool {
--- a/standin/plain.go
+++ b/standin/plain.go
@@ -13,7 +13,7 @@
 // Plain stands in for a plain service whose calls may not be repeated. It
 // counts what it ran by the call's Idempotency-Key.
 type Plain struct {
-	Switch
+	FaultInjector
 
 	delay time.Duration
 	mu    sync.Mutex
@@ -25,8 +25,8 @@
 	return &Plain{delay: delay, ran: map[string]int{}}
 }
 
-// Ran counts how often each key was run.
-func (pl *Plain) Ran() map[string]int {
+// RunCounts counts how often each key was run.
+func (pl *Plain) RunCounts() map[string]int {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
 	out := make(map[string]int, len(pl.ran))
@@ -43,7 +43,7 @@
 func (pl *Plain) Handler() http.Handler {
 	return pl.Wrap(http.HandlerFunc(func(wr http.ResponseWriter, rq *http.Request) {
 		if rq.URL.Path == RanPath {
-			writeJSON(wr, pl.Ran())
+			writeJSON(wr, pl.RunCounts())
 			return
 		}
 		body, err := io.ReadAll(rq.Body)
--- a/standin/rating.go
+++ b/standin/rating.go
@@ -12,7 +12,7 @@
 
 // Rating stands in for the rating service. Ratings come after a lag.
 type Rating struct {
-	Switch
+	FaultInjector
 
 	lag     time.Duration
 	mu      sync.Mutex
--- a/standin/replica.go
+++ b/standin/replica.go
@@ -32,12 +32,12 @@
 	CutAfter int
 	// Silent makes it run requests and never answer.
 	Silent bool
-	// Crossed is the request id that its answers carry instead.
-	Crossed string
+	// OtherRequestID is the request id that its answers carry instead.
+	OtherRequestID string
 	// Unsigned leaves out what marks an answer as the service's own.
 	Unsigned bool
-	// Torn breaks whole answers in the middle.
-	Torn bool
+	// Truncated breaks whole answers in the middle.
+	Truncated bool
 }
 
 // ReplicaRun is one request that a replica ran.
@@ -47,8 +47,8 @@
 	Target  string
 	Body    string
 	At      time.Time
-	// Left tells that the caller went before the end.
-	Left bool
+	// Disconnected tells that the caller went before the end.
+	Disconnected bool
 }
 
 // Replica stands in for a replica of the users' platform.
@@ -64,8 +64,8 @@
 // NewReplica gives a replica.
 func NewReplica(opt ReplicaOptions) *Replica { return &Replica{opt: opt} }
 
-// Set replaces the faults.
-func (re *Replica) Set(fa ReplicaFaults) {
+// SetFaults replaces the faults.
+func (re *Replica) SetFaults(fa ReplicaFaults) {
 	re.mu.Lock()
 	defer re.mu.Unlock()
 	re.faults = fa
@@ -119,7 +119,7 @@
 func (re *Replica) left(ru *ReplicaRun) {
 	re.mu.Lock()
 	defer re.mu.Unlock()
-	ru.Left = true
+	ru.Disconnected = true
 }
 
 // wait lets time pass; false when the caller left meanwhile.
@@ -140,8 +140,8 @@
 func (re *Replica) answer(wr http.ResponseWriter, rq *http.Request, ru *ReplicaRun, fa ReplicaFaults) {
 	he := wr.Header()
 	he.Set("Attempt-Id", ru.Request)
-	if fa.Crossed != "" {
-		he.Set("Attempt-Id", fa.Crossed)
+	if fa.OtherRequestID != "" {
+		he.Set("Attempt-Id", fa.OtherRequestID)
 	}
 	if !fa.Unsigned {
 		he.Set("Response-Signature", "signed-by-"+re.opt.ID)
@@ -154,7 +154,7 @@
 		wr.WriteHeader(fa.Status)
 	case re.opt.Events > 0:
 		re.stream(wr, rq, ru, fa)
-	case fa.Torn:
+	case fa.Truncated:
 		he.Set("Content-Length", "100")
 		_, _ = wr.Write([]byte("half"))
 		panic(http.ErrAbortHandler)
--- a/standin/store.go
+++ b/standin/store.go
@@ -20,7 +20,7 @@
 // Store stands in for the platform's key-value service. It speaks the subset
 // of the etcd v3 JSON API that the system uses.
 type Store struct {
-	Switch
+	FaultInjector
 
 	mu       sync.Mutex
 	revision int64
--- a/standin/vmlist.go
+++ b/standin/vmlist.go
@@ -13,7 +13,7 @@
 
 // VMList stands in for the platform's VM list. Changes show after a lag.
 type VMList struct {
-	Switch
+	FaultInjector
 
 	mu      sync.Mutex
 	lag     time.Duration
--- a/standin/weights.go
+++ b/standin/weights.go
@@ -8,7 +8,7 @@
 
 // Weights stands in for the rate-limited weight store.
 type Weights struct {
-	Switch
+	FaultInjector
 
 	every  time.Duration
 	mu     sync.Mutex
--- a/testsite/site.go
+++ b/testsite/site.go
@@ -89,7 +89,7 @@
 func New(tb testing.TB, opt Options) *Site {
 	gin.SetMode(gin.ReleaseMode)
 	if opt.Engine.Slots == 0 {
-		opt.Engine = standin.EngineOptions{Slots: 8, Prefill: 20 * time.Millisecond, Token: 5 * time.Millisecond, LoadLag: time.Second, CachedPrefixes: 16}
+		opt.Engine = standin.EngineOptions{Slots: 8, Prefill: 20 * time.Millisecond, TokenInterval: 5 * time.Millisecond, LoadLag: time.Second, CachedPrefixes: 16}
 	}
 	si := &Site{
 		tb: tb, opt: opt, Net: NewNetwork(), Store: standin.NewStore(), VMs: standin.NewVMList(opt.VMLag),
