--- a/standin/engine.go
+++ b/standin/engine.go
@@ -16,108 +16,131 @@
 )
 
 const (
+	// defaultAnswerTokens is the length of an answer to a request without
+	// max_tokens.
 	defaultAnswerTokens = 16
-	// maxKept is how many finished answers are kept to be resumed.
-	maxKept = 1024
-	// prefixBytes is how much of a prompt counts as its cached prefix.
+	// maxRetained bounds the generations that can be resumed or cancelled; the
+	// oldest are dropped.
+	maxRetained = 1024
+	// prefixBytes is the number of bytes of a model's name and a prompt, joined,
+	// that the prefix cache compares.
 	prefixBytes = 256
 )
 
-// EngineOptions set a model engine's speed.
+// EngineOptions set the speed of a model engine and the checks that it makes.
 type EngineOptions struct {
+	// Slots is the number of requests that fit into the batch.
 	Slots int
-	// Prefill is the time to the first token with an empty batch; a cached
-	// prefix halves it.
+	// Prefill is the time to the first token; a cached prefix halves it.
 	Prefill time.Duration
-	// TokenInterval is the time between tokens with an empty batch; a full batch
-	// doubles it.
+	// TokenInterval is the time between tokens in an empty batch. It grows with
+	// the batch and is twice as long in a full one.
 	TokenInterval time.Duration
-	// LoadLag is the age of the load that is reported.
+	// LoadLag is the age of the load that the engine reports.
 	LoadLag time.Duration
-	// CachedPrefixes is how many prompt prefixes are kept.
+	// CachedPrefixes is the size of the prefix cache, which evicts the least
+	// recently used prefix.
 	CachedPrefixes int
-	// ChecksFencing refuses orders with an old fencing token.
+	// ChecksFencing makes the engine refuse an order to load or unload a model if
+	// its fencing token is lower than the highest seen.
 	ChecksFencing bool
 }
 
-// EngineRun is one request that an engine started to run.
+// EngineRun describes a request that an engine started to run.
 type EngineRun struct {
+	// Attempt is the ID of the attempt, which the request carries in a header.
 	Attempt string
 	Model   string
-	// ReceivedAt is when the request came, At when it was started.
+	// ReceivedAt is when the request arrived, At when it got a slot.
 	ReceivedAt time.Time
 	At         time.Time
 }
 
-// Engine stands in for a model engine.
+// Engine simulates a model engine with a batch of limited size, a queue ordered
+// by priority, a prefix cache and streams that can be resumed. Its methods may be
+// called concurrently.
+//
+// mu guards the fields below it. No other lock is taken while it is held.
 type Engine struct {
 	FaultInjector
 
 	opt EngineOptions
 
-	mu       sync.Mutex
-	running  int
-	waiting  waitHeap
-	answers  map[string]*answer
-	kept     []string
-	ran      []EngineRun
-	reported []loadReport
+	mu sync.Mutex
+	// running is the number of occupied slots.
+	running     int
+	waiting     generationHeap
+	generations map[string]*generation
+	// retained lists the IDs in generations, oldest first.
+	retained    []string
+	runs        []EngineRun
+	loadSamples []loadSample
+	// prefixes is the prefix cache, least recently used first.
 	prefixes []string
-	fence    int64
-	loaded   map[string]bool
-	orders   []Order
+	// maxFencingToken is the highest fencing token of an order carried out.
+	maxFencingToken int64
+	// loaded is false for a model that was unloaded.
+	loaded map[string]bool
+	orders []Order
 }
 
-// Order is one order that an engine carried out.
+// Order is an order that an engine carried out: to load a model or, if Load is
+// false, to unload it.
 type Order struct {
 	Model        string
 	Load         bool
 	FencingToken int64
 }
 
-type loadReport struct {
+// loadSample is the number of occupied slots from a time on.
+type loadSample struct {
 	at      time.Time
 	running int
 }
 
-// answer is one generation. Its tokens come at times set when it starts.
-type answer struct {
-	id       string
-	model    string
-	prompt   string
+// generation is the answer to one request. The times of its tokens are fixed when
+// it starts.
+type generation struct {
+	id     string
+	model  string
+	prompt string
+	// priority is lower for more urgent requests; generations of one priority start
+	// in the order of sequence.
 	priority int64
-	order    int
+	sequence int
 	tokens   int
 	received time.Time
-	started  chan struct{}
-	startAt  time.Time
-	first    time.Duration
-	interval time.Duration
-	cancel   chan struct{}
-	once     sync.Once
-	end      *time.Timer
+	// started is closed when the generation gets a slot; the fields from startedAt
+	// to tokenInterval and endTimer are set before.
+	started       chan struct{}
+	startedAt     time.Time
+	firstToken    time.Duration
+	tokenInterval time.Duration
+	cancelled     chan struct{}
+	cancelOnce    sync.Once
+	endTimer      *time.Timer
 }
 
-// NewEngine gives an idle engine.
+// NewEngine returns an idle engine.
 func NewEngine(opt EngineOptions) *Engine {
-	return &Engine{opt: opt, answers: map[string]*answer{}, loaded: map[string]bool{}}
+	return &Engine{opt: opt, generations: map[string]*generation{}, loaded: map[string]bool{}}
 }
 
-// Runs lists the requests that the engine started.
+// Runs returns the requests that the engine has started, in that order.
 func (en *Engine) Runs() []EngineRun {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	return append([]EngineRun(nil), en.ran...)
+	return append([]EngineRun(nil), en.runs...)
 }
 
-// Orders lists the orders carried out.
+// Orders returns the orders that the engine has carried out.
 func (en *Engine) Orders() []Order {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	return append([]Order(nil), en.orders...)
 }
 
-// Handler serves the engine's API.
+// Handler returns the handler of the engine's API.
 func (en *Engine) Handler() http.Handler {
 	mu := http.NewServeMux()
 	mu.HandleFunc("POST /v1/chat/completions", en.handleChat)
@@ -135,120 +158,129 @@
 		return
 	}
 	id := rq.Header.Get(endpoint.HeaderAttempt)
-	an := &answer{
+	ge := &generation{
 		id: id, model: gjson.GetBytes(body, "model").Str,
 		prompt:   gjson.GetBytes(body, "messages").Raw,
 		priority: gjson.GetBytes(body, "priority").Int(),
 		tokens:   defaultAnswerTokens,
 		received: time.Now(),
-		started:  make(chan struct{}), cancel: make(chan struct{}),
+		started:  make(chan struct{}), cancelled: make(chan struct{}),
 	}
 	if n := gjson.GetBytes(body, "max_tokens").Int(); n > 0 {
-		an.tokens = int(n)
+		ge.tokens = int(n)
 	}
-	if an.model == en.Faults().FailModel && an.model != "" {
+	if ge.model == en.Faults().FailModel && ge.model != "" {
 		http.Error(wr, `{"error":{"message":"model failed"}}`, http.StatusInternalServerError)
 		return
 	}
-	en.admit(an)
-	en.stream(wr, rq, an, -1)
+	en.enqueue(ge)
+	en.stream(wr, rq, ge, -1)
 }
 
 func (en *Engine) handleResume(wr http.ResponseWriter, rq *http.Request) {
 	en.mu.Lock()
-	an := en.answers[rq.PathValue("id")]
+	ge := en.generations[rq.PathValue("id")]
 	en.mu.Unlock()
 	last, err := strconv.Atoi(rq.Header.Get("Last-Event-ID"))
-	if an == nil || err != nil {
+	if ge == nil || err != nil {
 		http.Error(wr, "no such answer", http.StatusNotFound)
 		return
 	}
-	en.stream(wr, rq, an, last)
+	en.stream(wr, rq, ge, last)
 }
 
+// handleCancel ends a generation and frees its slot. One that still waits is not
+// removed from the queue.
 func (en *Engine) handleCancel(_ http.ResponseWriter, rq *http.Request) {
 	en.mu.Lock()
-	an := en.answers[rq.PathValue("id")]
+	ge := en.generations[rq.PathValue("id")]
 	en.mu.Unlock()
-	if an == nil {
+	if ge == nil {
 		return
 	}
-	an.once.Do(func() { close(an.cancel) })
+	ge.cancelOnce.Do(func() { close(ge.cancelled) })
 	select {
-	case <-an.started:
-		if an.end.Stop() {
+	case <-ge.started:
+		if ge.endTimer.Stop() {
 			en.finish()
 		}
 	default:
 	}
 }
 
-// admit puts an answer into the batch, or into the queue when it is full.
-func (en *Engine) admit(an *answer) {
+// enqueue registers a generation and starts it once there is a free slot.
+func (en *Engine) enqueue(ge *generation) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	en.answers[an.id] = an
-	en.kept = append(en.kept, an.id)
-	if len(en.kept) > maxKept {
-		delete(en.answers, en.kept[0])
-		en.kept = en.kept[1:]
+	en.generations[ge.id] = ge
+	en.retained = append(en.retained, ge.id)
+	if len(en.retained) > maxRetained {
+		delete(en.generations, en.retained[0])
+		en.retained = en.retained[1:]
 	}
-	an.order = len(en.ran) + len(en.waiting)
-	heap.Push(&en.waiting, an)
-	en.fill()
+	ge.sequence = len(en.runs) + len(en.waiting)
+	heap.Push(&en.waiting, ge)
+	en.startWaiting()
 }
 
-// fill starts waiting answers while there are free slots.
-func (en *Engine) fill() {
+// startWaiting starts waiting generations while there are free slots. The caller
+// holds mu.
+func (en *Engine) startWaiting() {
 	for en.running < en.opt.Slots && len(en.waiting) > 0 {
-		en.start(heap.Pop(&en.waiting).(*answer))
+		en.start(heap.Pop(&en.waiting).(*generation))
 	}
 }
 
-func (en *Engine) start(an *answer) {
+// start occupies a slot with a generation and sets the times of its tokens. The
+// caller holds mu.
+func (en *Engine) start(ge *generation) {
 	en.running++
 	now := time.Now()
-	en.report(now)
-	en.ran = append(en.ran, EngineRun{Attempt: an.id, Model: an.model, ReceivedAt: an.received, At: now})
+	en.recordLoad(now)
+	en.runs = append(en.runs, EngineRun{Attempt: ge.id, Model: ge.model, ReceivedAt: ge.received, At: now})
 	fullness := float64(en.running) / float64(en.opt.Slots)
-	an.startAt = now
-	an.first = en.opt.Prefill
-	if en.cached(an.model + an.prompt) {
-		an.first /= 2
+	ge.startedAt = now
+	ge.firstToken = en.opt.Prefill
+	if en.lookupPrefix(ge.model + ge.prompt) {
+		ge.firstToken /= 2
 	}
-	an.interval = time.Duration(float64(en.opt.TokenInterval) * (1 + fullness))
-	lasts := an.first + time.Duration(an.tokens)*an.interval
-	an.end = time.AfterFunc(lasts, en.finish)
-	close(an.started)
+	ge.tokenInterval = time.Duration(float64(en.opt.TokenInterval) * (1 + fullness))
+	duration := ge.firstToken + time.Duration(ge.tokens)*ge.tokenInterval
+	ge.endTimer = time.AfterFunc(duration, en.finish)
+	close(ge.started)
 }
 
+// finish frees a slot.
 func (en *Engine) finish() {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	en.running--
-	en.report(time.Now())
-	en.fill()
+	en.recordLoad(time.Now())
+	en.startWaiting()
 }
 
-func (en *Engine) report(now time.Time) {
-	en.reported = append(en.reported, loadReport{at: now, running: en.running})
-	for len(en.reported) > 1 && now.Sub(en.reported[1].at) > en.opt.LoadLag {
-		en.reported = en.reported[1:]
+// recordLoad adds a sample of the load and drops those that are not needed for
+// reportedLoad. The caller holds mu.
+func (en *Engine) recordLoad(now time.Time) {
+	en.loadSamples = append(en.loadSamples, loadSample{at: now, running: en.running})
+	for len(en.loadSamples) > 1 && now.Sub(en.loadSamples[1].at) > en.opt.LoadLag {
+		en.loadSamples = en.loadSamples[1:]
 	}
 }
 
-// laggingLoad gives the slots' utilisation as it was a while ago.
-func (en *Engine) laggingLoad() float64 {
+// reportedLoad returns the share of occupied slots as it was LoadLag ago.
+func (en *Engine) reportedLoad() float64 {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	if len(en.reported) == 0 {
+	if len(en.loadSamples) == 0 {
 		return 0
 	}
-	return float64(en.reported[0].running) / float64(en.opt.Slots)
+	return float64(en.loadSamples[0].running) / float64(en.opt.Slots)
 }
 
-// cached tells whether a prompt's prefix is cached, and caches it.
-func (en *Engine) cached(prompt string) bool {
+// lookupPrefix reports whether a prompt's prefix is in the cache, and makes it the
+// most recently used. The caller holds mu.
+func (en *Engine) lookupPrefix(prompt string) bool {
 	prefix := prompt[:min(len(prompt), prefixBytes)]
 	for i, pr := range en.prefixes {
 		if pr == prefix {
@@ -263,29 +295,30 @@
 	return false
 }
 
-// stream sends the events of an answer after the one with id last.
-func (en *Engine) stream(wr http.ResponseWriter, rq *http.Request, an *answer, last int) {
+// stream sends the events of a generation that follow the one with ID last, and
+// injects the faults of streams.
+func (en *Engine) stream(wr http.ResponseWriter, rq *http.Request, ge *generation, last int) {
 	select {
-	case <-an.started:
+	case <-ge.started:
 	case <-rq.Context().Done():
 		return
 	}
-	id := an.id
-	if en.take(func(fa *Faults) *int { return &fa.CrossAnswers }) {
+	id := ge.id
+	if en.decrement(func(fa *Faults) *int { return &fa.CrossAnswers }) {
 		id = "other-" + id
 	}
-	cut := en.take(func(fa *Faults) *int { return &fa.CutStreams })
-	silent := en.take(func(fa *Faults) *int { return &fa.SilentStreams })
+	cut := en.decrement(func(fa *Faults) *int { return &fa.CutStreams })
+	silent := en.decrement(func(fa *Faults) *int { return &fa.SilentStreams })
 	fa := en.Faults()
 	wr.Header().Set("Content-Type", "text/event-stream")
-	wr.Header().Set(endpoint.HeaderAttempt, an.id)
-	wr.Header().Set(endpoint.HeaderLoad, endpoint.FormatLoad(en.laggingLoad()))
+	wr.Header().Set(endpoint.HeaderAttempt, ge.id)
+	wr.Header().Set(endpoint.HeaderLoad, endpoint.FormatLoad(en.reportedLoad()))
 	sent := 0
-	for ev := last + 1; ev <= an.tokens+2; ev++ {
-		if !an.waitFor(rq, min(ev, an.tokens)) {
+	for ev := last + 1; ev <= ge.tokens+2; ev++ {
+		if !ge.waitForToken(rq, min(ev, ge.tokens)) {
 			return
 		}
-		_, _ = fmt.Fprintf(wr, "id: %d\ndata: %s\n\n", ev, an.event(ev, id))
+		_, _ = fmt.Fprintf(wr, "id: %d\ndata: %s\n\n", ev, ge.eventData(ev, id))
 		wr.(http.Flusher).Flush()
 		sent++
 		if cut && sent >= fa.CutAfter {
@@ -298,57 +331,59 @@
 	}
 }
 
-// waitFor waits until a token is generated.
-func (an *answer) waitFor(rq *http.Request, token int) bool {
-	at := an.startAt.Add(an.first + time.Duration(token)*an.interval)
+// waitForToken blocks until a token is generated, and reports whether it was: false
+// if the generation is cancelled or the client disconnects before.
+func (ge *generation) waitForToken(rq *http.Request, token int) bool {
+	at := ge.startedAt.Add(ge.firstToken + time.Duration(token)*ge.tokenInterval)
 	tm := time.NewTimer(time.Until(at))
 	defer tm.Stop()
 	select {
 	case <-tm.C:
 		return true
-	case <-an.cancel:
+	case <-ge.cancelled:
 		return false
 	case <-rq.Context().Done():
 		return false
 	}
 }
 
-// event gives the text of an event: tokens, the finish reason, the usage, and
-// the end.
-func (an *answer) event(ev int, id string) string {
-	head := fmt.Sprintf(`{"id":"chatcmpl-%s","object":"chat.completion.chunk","created":%d,"model":%q`, id, an.startAt.Unix(), an.model)
+// eventData returns the data of an event: first the tokens, then the finish
+// reason, the usage and the end marker.
+func (ge *generation) eventData(ev int, id string) string {
+	head := fmt.Sprintf(`{"id":"chatcmpl-%s","object":"chat.completion.chunk","created":%d,"model":%q`, id, ge.startedAt.Unix(), ge.model)
 	switch {
-	case ev < an.tokens:
-		return fmt.Sprintf(`%s,"choices":[{"index":0,"delta":{"role":"assistant","content":"%s-%d "},"finish_reason":null}]}`, head, an.model, ev)
-	case ev == an.tokens:
+	case ev < ge.tokens:
+		return fmt.Sprintf(`%s,"choices":[{"index":0,"delta":{"role":"assistant","content":"%s-%d "},"finish_reason":null}]}`, head, ge.model, ev)
+	case ev == ge.tokens:
 		return head + `,"choices":[{"index":0,"delta":{},"finish_reason":"stop"}]}`
-	case ev == an.tokens+1:
-		prompt := len(strings.Fields(an.prompt)) + 1
-		return fmt.Sprintf(`%s,"choices":[],"usage":{"prompt_tokens":%d,"completion_tokens":%d,"total_tokens":%d}}`, head, prompt, an.tokens, prompt+an.tokens)
+	case ev == ge.tokens+1:
+		prompt := len(strings.Fields(ge.prompt)) + 1
+		return fmt.Sprintf(`%s,"choices":[],"usage":{"prompt_tokens":%d,"completion_tokens":%d,"total_tokens":%d}}`, head, prompt, ge.tokens, prompt+ge.tokens)
 	default:
 		return "[DONE]"
 	}
 }
 
-// waitHeap orders waiting answers by priority, then by arrival.
-type waitHeap []*answer
+// generationHeap is a heap of waiting generations, ordered by priority, then by
+// arrival.
+type generationHeap []*generation
 
-func (wh waitHeap) Len() int { return len(wh) }
-func (wh waitHeap) Less(i, j int) bool {
-	if wh[i].priority != wh[j].priority {
-		return wh[i].priority < wh[j].priority
+func (gh generationHeap) Len() int { return len(gh) }
+func (gh generationHeap) Less(i, j int) bool {
+	if gh[i].priority != gh[j].priority {
+		return gh[i].priority < gh[j].priority
 	}
-	return wh[i].order < wh[j].order
+	return gh[i].sequence < gh[j].sequence
 }
-func (wh waitHeap) Swap(i, j int) { wh[i], wh[j] = wh[j], wh[i] }
+func (gh generationHeap) Swap(i, j int) { gh[i], gh[j] = gh[j], gh[i] }
 
 // Push implements heap.Interface.
-func (wh *waitHeap) Push(va any) { *wh = append(*wh, va.(*answer)) }
+func (gh *generationHeap) Push(va any) { *gh = append(*gh, va.(*generation)) }
 
 // Pop implements heap.Interface.
-func (wh *waitHeap) Pop() any {
-	old := *wh
+func (gh *generationHeap) Pop() any {
+	old := *gh
 	last := old[len(old)-1]
-	*wh = old[:len(old)-1]
+	*gh = old[:len(old)-1]
 	return last
 }
--- a/standin/fault.go
+++ b/standin/fault.go
@@ -1,6 +1,7 @@
-// Package standin holds small stand-ins for the platform's services, model
-// engines and plain services, for the demonstration and for tests. Each has
-// faults that can be ordered over HTTP or from a test.
+// Package standin simulates the platform's services, model engines and plain
+// services, for the demonstration and for tests. A test sets the faults of a
+// stand-in through its methods; those of all but Replica can also be set over
+// HTTP.
 package standin
 
 import (
@@ -14,67 +15,74 @@
 	"time"
 )
 
-// FaultPath is where faults are ordered: POST with a Faults object.
+// FaultPath is the path at which a POST with a Faults object as its JSON body
+// replaces the faults of a stand-in.
 const FaultPath = "/standin/faults"
 
-// Faults are the faults in force. The zero value has none.
+// Faults are the faults that a stand-in injects. The zero value injects none.
 type Faults struct {
-	// Down breaks every connection at once.
+	// Down aborts the connection of every request as soon as it arrives.
 	Down bool `json:"down"`
-	// Freeze takes requests and never answers.
+	// Freeze accepts requests and never answers them.
 	Freeze bool `json:"freeze"`
-	// DelayMS is added before each answer.
+	// DelayMS is the time, in milliseconds, before a request is handled.
 	DelayMS int64 `json:"delay_ms"`
-	// LoseAnswers is how many next writes are carried out without an answer.
+	// LoseAnswers is the number of following writes that are carried out and
+	// whose connection is then aborted instead of a response.
 	LoseAnswers int `json:"lose_answers"`
-	// LateWrites is how many next writes break at once and are carried out
-	// LateMS later, when nobody waits for them any more.
+	// LateWrites is the number of following writes whose connection is aborted at
+	// once and that are carried out LateMS milliseconds later, when the client no
+	// longer waits for the response.
 	LateWrites int   `json:"late_writes"`
 	LateMS     int64 `json:"late_ms"`
-	// LateAbout is what the late writes contain, such as a key; "" for all.
+	// LateAbout limits LateWrites to requests whose body contains this text, such
+	// as a key; "" selects all.
 	LateAbout string `json:"late_about"`
-	// FailModel is an engine's model whose requests fail.
+	// FailModel is the model whose requests an engine answers with status 500.
 	FailModel string `json:"fail_model"`
-	// CutAfter breaks the next streams after so many events; 0 never.
-	CutAfter int `json:"cut_after"`
-	// CutStreams is how many streams are broken so.
+	// CutAfter is the number of events after which the next CutStreams streams of
+	// an engine are aborted.
+	CutAfter   int `json:"cut_after"`
 	CutStreams int `json:"cut_streams"`
-	// SilentAfter stops the next streams, without closing, after so many events.
-	SilentAfter int `json:"silent_after"`
-	// SilentStreams is how many streams are stopped so.
+	// SilentAfter is the number of events after which the next SilentStreams
+	// streams of an engine send nothing more but stay open.
+	SilentAfter   int `json:"silent_after"`
 	SilentStreams int `json:"silent_streams"`
-	// CrossAnswers is how many next streams carry another request's id.
+	// CrossAnswers is the number of following streams of an engine whose events
+	// carry another request's ID.
 	CrossAnswers int `json:"cross_answers"`
 }
 
-// FaultInjector holds the faults in force.
+// FaultInjector holds the faults of a stand-in and injects them into its
+// requests. Its methods may be called concurrently.
 type FaultInjector struct {
 	mu     sync.Mutex
 	faults Faults
-	// losable tells which requests LoseAnswers and LateWrites are for; nil: every
-	// POST.
-	losable func(rq *http.Request) bool
+	// writeMatcher reports whether a request counts as a write, to which
+	// LoseAnswers and LateWrites apply. If nil, every POST does.
+	writeMatcher func(rq *http.Request) bool
 }
 
-// SetFaults replaces the faults.
-func (sw *FaultInjector) SetFaults(fa Faults) {
-	sw.mu.Lock()
-	defer sw.mu.Unlock()
-	sw.faults = fa
+// SetFaults replaces the faults in force.
+func (fi *FaultInjector) SetFaults(fa Faults) {
+	fi.mu.Lock()
+	defer fi.mu.Unlock()
+	fi.faults = fa
 }
 
-// Faults gives the faults in force.
-func (sw *FaultInjector) Faults() Faults {
-	sw.mu.Lock()
-	defer sw.mu.Unlock()
-	return sw.faults
+// Faults returns the faults in force.
+func (fi *FaultInjector) Faults() Faults {
+	fi.mu.Lock()
+	defer fi.mu.Unlock()
+	return fi.faults
 }
 
-// take lowers a counter and tells whether it was above zero.
-func (sw *FaultInjector) take(counter func(fa *Faults) *int) bool {
-	sw.mu.Lock()
-	defer sw.mu.Unlock()
-	n := counter(&sw.faults)
+// decrement lowers a counter among the faults by one if it is above zero, and
+// reports whether it was.
+func (fi *FaultInjector) decrement(counter func(fa *Faults) *int) bool {
+	fi.mu.Lock()
+	defer fi.mu.Unlock()
+	n := counter(&fi.faults)
 	if *n <= 0 {
 		return false
 	}
@@ -82,19 +90,22 @@
 	return true
 }
 
-// Wrap puts the faults before a handler.
-func (sw *FaultInjector) Wrap(ha http.Handler) http.Handler {
+// Wrap returns a handler that serves FaultPath and injects the faults in force
+// into all other requests before it passes them to ha. It aborts a connection by
+// a panic with http.ErrAbortHandler.
+func (fi *FaultInjector) Wrap(ha http.Handler) http.Handler {
 	return http.HandlerFunc(func(wr http.ResponseWriter, rq *http.Request) {
 		if rq.URL.Path == FaultPath {
-			sw.order(wr, rq)
+			fi.handleFaults(wr, rq)
 			return
 		}
-		fa := sw.Faults()
+		fa := fi.Faults()
 		if fa.Down {
 			panic(http.ErrAbortHandler)
 		}
 		if fa.Freeze {
-			// The server sees the other end leave only once the body is read.
+			// net/http notices that the client has disconnected only after the body has
+			// been read.
 			_, _ = io.Copy(io.Discard, rq.Body)
 			<-rq.Context().Done()
 			panic(http.ErrAbortHandler)
@@ -102,48 +113,52 @@
 		if fa.DelayMS > 0 {
 			time.Sleep(time.Duration(fa.DelayMS) * time.Millisecond)
 		}
-		if sw.isWrite(rq) && sw.take(func(fa *Faults) *int { return &fa.LoseAnswers }) {
+		if fi.isWrite(rq) && fi.decrement(func(fa *Faults) *int { return &fa.LoseAnswers }) {
 			ha.ServeHTTP(httptest.NewRecorder(), rq)
 			panic(http.ErrAbortHandler)
 		}
-		if sw.isWrite(rq) && fa.LateWrites > 0 && contains(rq, fa.LateAbout) && sw.take(func(fa *Faults) *int { return &fa.LateWrites }) {
-			runLate(ha, rq, time.Duration(fa.LateMS)*time.Millisecond)
+		if fi.isWrite(rq) && fa.LateWrites > 0 && bodyContains(rq, fa.LateAbout) && fi.decrement(func(fa *Faults) *int { return &fa.LateWrites }) {
+			serveLater(ha, rq, time.Duration(fa.LateMS)*time.Millisecond)
 			panic(http.ErrAbortHandler)
 		}
 		ha.ServeHTTP(wr, rq)
 	})
 }
 
-// contains tells whether a request's body contains a text; the body can be read
-// again afterwards.
-func contains(rq *http.Request, text string) bool {
+// bodyContains reports whether a request's body contains a text. It replaces the
+// body with a copy, so that it can be read again.
+func bodyContains(rq *http.Request, text string) bool {
 	body, err := io.ReadAll(rq.Body)
 	rq.Body = io.NopCloser(bytes.NewReader(body))
 	return err == nil && bytes.Contains(body, []byte(text))
 }
 
-// runLate carries a request out after a while; its sender hears nothing.
-func runLate(ha http.Handler, rq *http.Request, late time.Duration) {
+// serveLater handles a request after a delay, also if its connection has been
+// closed, and discards the response.
+func serveLater(ha http.Handler, rq *http.Request, late time.Duration) {
 	later := rq.Clone(context.WithoutCancel(rq.Context()))
 	time.AfterFunc(late, func() { ha.ServeHTTP(httptest.NewRecorder(), later) })
 }
 
-func (sw *FaultInjector) isWrite(rq *http.Request) bool {
-	if sw.losable != nil {
-		return sw.losable(rq)
+func (fi *FaultInjector) isWrite(rq *http.Request) bool {
+	if fi.writeMatcher != nil {
+		return fi.writeMatcher(rq)
 	}
 	return rq.Method == http.MethodPost
 }
 
-func (sw *FaultInjector) order(wr http.ResponseWriter, rq *http.Request) {
+// handleFaults replaces the faults in force by those in the body.
+func (fi *FaultInjector) handleFaults(wr http.ResponseWriter, rq *http.Request) {
 	var fa Faults
 	if err := json.NewDecoder(rq.Body).Decode(&fa); err != nil {
 		http.Error(wr, err.Error(), http.StatusBadRequest)
 		return
 	}
-	sw.SetFaults(fa)
+	fi.SetFaults(fa)
 }
 
+// readJSON decodes a request's body into a value and reports whether it could;
+// if not, it responds with status 400.
 func readJSON(wr http.ResponseWriter, rq *http.Request, into any) bool {
 	if err := json.NewDecoder(rq.Body).Decode(into); err != nil {
 		http.Error(wr, err.Error(), http.StatusBadRequest)
--- a/standin/kv.go
+++ b/standin/kv.go
@@ -11,7 +11,8 @@
 	"tanagerpoint.example/tanager/store"
 )
 
-// kvItem is a pair, or a deletion, on the users' platform.
+// kvItem is a pair or, with Tombstone set, the deletion of one in the API of the
+// users' platform.
 type kvItem struct {
 	Key       string `json:"key"`
 	Value     []byte `json:"value,omitempty"`
@@ -21,13 +22,17 @@
 	Tombstone bool   `json:"tombstone,omitempty"`
 }
 
-type kvAnswer struct {
+// kvResponse is the body of a response: Items for a range or a refused
+// transaction, Events for a watch.
+type kvResponse struct {
 	Items         []kvItem `json:"items,omitempty"`
 	Events        []kvItem `json:"events,omitempty"`
 	MorePages     bool     `json:"more_pages"`
 	StoreRevision int64    `json:"store_revision"`
 }
 
+// kvTxn is the body of a transaction. It is refused unless each key of Expect has
+// the given revision, 0 for a key without a value.
 type kvTxn struct {
 	Expect []struct {
 		Key      string `json:"key"`
@@ -41,72 +46,77 @@
 	Deletes []string `json:"deletes"`
 }
 
-// kvPage is how many items a page has.
-const kvPage = 50
+// kvPageSize is the largest number of items in a response to a range.
+const kvPageSize = 50
 
-// KVHandler serves the same store by the calls of the users' platform.
+// KVHandler returns the handler of the API of the users' platform. It serves the
+// same pairs as Handler.
 func (st *Store) KVHandler() http.Handler {
 	mu := http.NewServeMux()
-	mu.HandleFunc("GET /v1/kv-range", st.kvRange)
-	mu.HandleFunc("GET /v1/kv-watch", st.kvWatch)
-	mu.HandleFunc("POST /v1/kv-txn", st.kvTxn)
-	mu.HandleFunc("POST /v1/kv-lease", st.kvLease)
-	mu.HandleFunc("POST /v1/kv-keep/{id}", st.kvKeep)
-	mu.HandleFunc("DELETE /v1/kv-lease-end/{id}", st.kvLeaseEnd)
+	mu.HandleFunc("GET /v1/kv-range", st.handleKVRange)
+	mu.HandleFunc("GET /v1/kv-watch", st.handleKVWatch)
+	mu.HandleFunc("POST /v1/kv-txn", st.handleKVTxn)
+	mu.HandleFunc("POST /v1/kv-lease", st.handleKVLease)
+	mu.HandleFunc("POST /v1/kv-keep/{id}", st.handleKVKeepAlive)
+	mu.HandleFunc("DELETE /v1/kv-lease-end/{id}", st.handleKVLeaseEnd)
 	return st.Wrap(mu)
 }
 
-// Write puts a value as the operator or a replica does; nil deletes the key.
+// Write sets the value of a key, or deletes the key if the value is nil, and
+// returns the new revision. Tests use it in the role of an operator or a replica.
 func (st *Store) Write(key string, value []byte) int64 {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	before := len(st.events)
+	eventsBefore := len(st.events)
 	st.revision++
 	if value == nil {
 		st.remove(key)
 	} else {
 		st.put(store.WirePut{Key: []byte(key), Value: value})
 	}
-	st.wake(before)
+	st.notifyWatches(eventsBefore)
 	return st.revision
 }
 
-// Value gives a key's value, nil when there is none.
+// Value returns the value of a key, nil if there is none.
 func (st *Store) Value(key string) []byte {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return st.pairs[key].kv.Value
 }
 
-// Compact drops the history before now, and cuts the waiting watches.
+// Compact drops the history. A watch of the users' platform that asks for events
+// before now, also one that waits already, gets status 410 (Gone).
 func (st *Store) Compact() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.events, st.compacted = nil, st.revision
+	st.events, st.compactedRevision = nil, st.revision
 	close(st.changed)
 	st.changed = make(chan struct{})
 }
 
-func (st *Store) kvRange(wr http.ResponseWriter, rq *http.Request) {
+func (st *Store) handleKVRange(wr http.ResponseWriter, rq *http.Request) {
 	qu := rq.URL.Query()
 	st.mu.Lock()
 	st.reads++
-	st.expire()
-	an := kvAnswer{StoreRevision: st.revision, Items: []kvItem{}}
+	st.revokeExpired()
+	re := kvResponse{StoreRevision: st.revision, Items: []kvItem{}}
 	for key, pa := range st.pairs {
 		if strings.HasPrefix(key, qu.Get("prefix")) && key > qu.Get("after") {
-			an.Items = append(an.Items, kvItem{Key: key, Value: pa.kv.Value, Revision: pa.kv.ModRevision, Created: pa.kv.CreateRevision, Lease: pa.lease})
+			re.Items = append(re.Items, kvItem{Key: key, Value: pa.kv.Value, Revision: pa.kv.ModRevision, Created: pa.kv.CreateRevision, Lease: pa.lease})
 		}
 	}
 	st.mu.Unlock()
-	sort.Slice(an.Items, func(i, j int) bool { return an.Items[i].Key < an.Items[j].Key })
-	if len(an.Items) > kvPage {
-		an.Items, an.MorePages = an.Items[:kvPage], true
+	sort.Slice(re.Items, func(i, j int) bool { return re.Items[i].Key < re.Items[j].Key })
+	if len(re.Items) > kvPageSize {
+		re.Items, re.MorePages = re.Items[:kvPageSize], true
 	}
-	writeJSON(wr, an)
+	writeJSON(wr, re)
 }
 
-func (st *Store) kvWatch(wr http.ResponseWriter, rq *http.Request) {
+// handleKVWatch answers a long poll: it responds as soon as there are events after
+// a revision, and without events after wait_ms.
+func (st *Store) handleKVWatch(wr http.ResponseWriter, rq *http.Request) {
 	qu := rq.URL.Query()
 	after, err := strconv.ParseInt(qu.Get("after"), 10, 64)
 	wait, err2 := strconv.ParseInt(qu.Get("wait_ms"), 10, 64)
@@ -120,19 +130,19 @@
 	until := time.NewTimer(time.Duration(wait) * time.Millisecond)
 	defer until.Stop()
 	for {
-		an, changed, gone := st.kvEvents(qu.Get("prefix"), after)
-		if gone {
+		re, changed, compacted := st.eventsAfter(qu.Get("prefix"), after)
+		if compacted {
 			wr.WriteHeader(http.StatusGone)
 			return
 		}
-		if len(an.Events) > 0 {
-			writeJSON(wr, an)
+		if len(re.Events) > 0 {
+			writeJSON(wr, re)
 			return
 		}
 		select {
 		case <-changed:
 		case <-until.C:
-			writeJSON(wr, an)
+			writeJSON(wr, re)
 			return
 		case <-rq.Context().Done():
 			return
@@ -140,25 +150,27 @@
 	}
 }
 
-func (st *Store) kvEvents(prefix string, after int64) (an kvAnswer, changed chan struct{}, gone bool) {
+// eventsAfter returns the events of a prefix after a revision, and a channel that is
+// closed when there may be more. compacted is true if some of them were dropped.
+func (st *Store) eventsAfter(prefix string, after int64) (re kvResponse, changed chan struct{}, compacted bool) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if after < st.compacted {
-		return an, nil, true
+	if after < st.compactedRevision {
+		return re, nil, true
 	}
-	an = kvAnswer{StoreRevision: st.revision, Events: []kvItem{}}
+	re = kvResponse{StoreRevision: st.revision, Events: []kvItem{}}
 	for _, ev := range st.events {
 		if ev.Kv.ModRevision > after && strings.HasPrefix(string(ev.Kv.Key), prefix) {
-			an.Events = append(an.Events, kvItem{
+			re.Events = append(re.Events, kvItem{
 				Key: string(ev.Kv.Key), Value: ev.Kv.Value, Revision: ev.Kv.ModRevision,
 				Created: ev.Kv.CreateRevision, Tombstone: ev.Type == "DELETE",
 			})
 		}
 	}
-	return an, st.changed, false
+	return re, st.changed, false
 }
 
-func (st *Store) kvTxn(wr http.ResponseWriter, rq *http.Request) {
+func (st *Store) handleKVTxn(wr http.ResponseWriter, rq *http.Request) {
 	var tx kvTxn
 	if !readJSON(wr, rq, &tx) {
 		return
@@ -166,10 +178,10 @@
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.writes++
-	st.expire()
+	st.revokeExpired()
 	for _, ex := range tx.Expect {
 		if st.pairs[ex.Key].kv.ModRevision != ex.Revision {
-			st.kvRefuse(wr, tx)
+			st.refuseKVTxn(wr, tx)
 			return
 		}
 	}
@@ -179,7 +191,7 @@
 			return
 		}
 	}
-	before := len(st.events)
+	eventsBefore := len(st.events)
 	st.revision++
 	for _, pu := range tx.Puts {
 		st.put(store.WirePut{Key: []byte(pu.Key), Value: pu.Value, Lease: pu.Lease})
@@ -187,30 +199,33 @@
 	for _, key := range tx.Deletes {
 		st.remove(key)
 	}
-	st.wake(before)
+	st.notifyWatches(eventsBefore)
 	writeJSON(wr, struct {
 		Revision int64 `json:"revision"`
 	}{st.revision})
 }
 
-func (st *Store) kvRefuse(wr http.ResponseWriter, tx kvTxn) {
-	an := kvAnswer{Items: []kvItem{}}
+// refuseKVTxn responds with status 412 and the current state of the expected keys.
+// The caller holds mu.
+func (st *Store) refuseKVTxn(wr http.ResponseWriter, tx kvTxn) {
+	re := kvResponse{Items: []kvItem{}}
 	for _, ex := range tx.Expect {
 		pa := st.pairs[ex.Key]
-		an.Items = append(an.Items, kvItem{Key: ex.Key, Value: pa.kv.Value, Revision: pa.kv.ModRevision, Created: pa.kv.CreateRevision, Lease: pa.lease})
+		re.Items = append(re.Items, kvItem{Key: ex.Key, Value: pa.kv.Value, Revision: pa.kv.ModRevision, Created: pa.kv.CreateRevision, Lease: pa.lease})
 	}
 	wr.Header().Set("Content-Type", "application/json")
 	wr.WriteHeader(http.StatusPreconditionFailed)
-	_ = json.NewEncoder(wr).Encode(an)
+	_ = json.NewEncoder(wr).Encode(re)
 }
 
-type kvLeaseTerms struct {
+// kvLeaseBody is the body of requests for a lease and of their responses.
+type kvLeaseBody struct {
 	Lease int64 `json:"lease,omitempty"`
 	TTLMS int64 `json:"ttl_ms"`
 }
 
-func (st *Store) kvLease(wr http.ResponseWriter, rq *http.Request) {
-	var le kvLeaseTerms
+func (st *Store) handleKVLease(wr http.ResponseWriter, rq *http.Request) {
+	var le kvLeaseBody
 	if !readJSON(wr, rq, &le) {
 		return
 	}
@@ -220,14 +235,14 @@
 	st.revision++
 	ttl := time.Duration(le.TTLMS) * time.Millisecond
 	st.leases[st.revision] = storedLease{ttl: int64(ttl / time.Second), expiresAt: time.Now().Add(ttl)}
-	writeJSON(wr, kvLeaseTerms{Lease: st.revision, TTLMS: le.TTLMS})
+	writeJSON(wr, kvLeaseBody{Lease: st.revision, TTLMS: le.TTLMS})
 }
 
-func (st *Store) kvKeep(wr http.ResponseWriter, rq *http.Request) {
+func (st *Store) handleKVKeepAlive(wr http.ResponseWriter, rq *http.Request) {
 	id, _ := strconv.ParseInt(rq.PathValue("id"), 10, 64)
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.expire()
+	st.revokeExpired()
 	held, ok := st.leases[id]
 	if !ok {
 		wr.WriteHeader(http.StatusNotFound)
@@ -235,15 +250,15 @@
 	}
 	held.expiresAt = time.Now().Add(time.Duration(held.ttl) * time.Second)
 	st.leases[id] = held
-	writeJSON(wr, kvLeaseTerms{TTLMS: held.ttl * 1000})
+	writeJSON(wr, kvLeaseBody{TTLMS: held.ttl * 1000})
 }
 
-func (st *Store) kvLeaseEnd(wr http.ResponseWriter, rq *http.Request) {
+func (st *Store) handleKVLeaseEnd(wr http.ResponseWriter, rq *http.Request) {
 	id, _ := strconv.ParseInt(rq.PathValue("id"), 10, 64)
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	before := len(st.events)
-	st.endLease(id)
-	st.wake(before)
+	eventsBefore := len(st.events)
+	st.revokeLease(id)
+	st.notifyWatches(eventsBefore)
 	writeJSON(wr, struct{}{})
 }
--- a/standin/order.go
+++ b/standin/order.go
@@ -7,6 +7,7 @@
 	"tanagerpoint.example/tanager/endpoint"
 )
 
+// handleModels responds with the models that are loaded.
 func (en *Engine) handleModels(wr http.ResponseWriter, _ *http.Request) {
 	type item struct {
 		ID string `json:"id"`
@@ -24,6 +25,8 @@
 	writeJSON(wr, list)
 }
 
+// handleOrder returns the handler of orders to load or, if load is false, to unload
+// a model.
 func (en *Engine) handleOrder(load bool) http.HandlerFunc {
 	return func(wr http.ResponseWriter, rq *http.Request) {
 		var or struct {
@@ -35,11 +38,11 @@
 		token, _ := strconv.ParseInt(rq.Header.Get(endpoint.HeaderFencingToken), 10, 64)
 		en.mu.Lock()
 		defer en.mu.Unlock()
-		if en.opt.ChecksFencing && token < en.fence {
+		if en.opt.ChecksFencing && token < en.maxFencingToken {
 			http.Error(wr, "old fencing token", http.StatusConflict)
 			return
 		}
-		en.fence = max(en.fence, token)
+		en.maxFencingToken = max(en.maxFencingToken, token)
 		en.loaded[or.LoraName] = load
 		en.orders = append(en.orders, Order{Model: or.LoraName, Load: load, FencingToken: token})
 	}
--- a/standin/plain.go
+++ b/standin/plain.go
@@ -10,39 +10,40 @@
 	"tanagerpoint.example/tanager/endpoint"
 )
 
-// Plain stands in for a plain service whose calls may not be repeated. It
-// counts what it ran by the call's Idempotency-Key.
+// Plain simulates a plain service whose calls must not be repeated. It counts how
+// often it ran the call of each Idempotency-Key. Its methods may be called
+// concurrently.
 type Plain struct {
 	FaultInjector
 
-	delay time.Duration
-	mu    sync.Mutex
-	ran   map[string]int
+	delay     time.Duration
+	mu        sync.Mutex
+	runCounts map[string]int
 }
 
-// NewPlain gives a service that takes a while for each call.
+// NewPlain returns a service that takes delay for each call.
 func NewPlain(delay time.Duration) *Plain {
-	return &Plain{delay: delay, ran: map[string]int{}}
+	return &Plain{delay: delay, runCounts: map[string]int{}}
 }
 
-// RunCounts counts how often each key was run.
+// RunCounts returns how often the call of each Idempotency-Key was run.
 func (pl *Plain) RunCounts() map[string]int {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
-	out := make(map[string]int, len(pl.ran))
-	for key, n := range pl.ran {
+	out := make(map[string]int, len(pl.runCounts))
+	for key, n := range pl.runCounts {
 		out[key] = n
 	}
 	return out
 }
 
-// RanPath is where the counts of what ran are read.
-const RanPath = "/standin/ran"
+// RunCountsPath is the path at which RunCounts is read over HTTP.
+const RunCountsPath = "/standin/ran"
 
-// Handler serves any path.
+// Handler returns the handler of calls, which accepts any method and path.
 func (pl *Plain) Handler() http.Handler {
 	return pl.Wrap(http.HandlerFunc(func(wr http.ResponseWriter, rq *http.Request) {
-		if rq.URL.Path == RanPath {
+		if rq.URL.Path == RunCountsPath {
 			writeJSON(wr, pl.RunCounts())
 			return
 		}
@@ -52,16 +53,18 @@
 		}
 		key := rq.Header.Get("Idempotency-Key")
 		pl.mu.Lock()
-		pl.ran[key]++
-		n := pl.ran[key]
+		pl.runCounts[key]++
+		n := pl.runCounts[key]
 		pl.mu.Unlock()
 		time.Sleep(pl.delay)
 		wr.Header().Set(endpoint.HeaderAttempt, rq.Header.Get(endpoint.HeaderAttempt))
-		writeJSON(wr, plainAnswer{Path: rq.URL.Path, Key: key, Run: n, Receipt: fmt.Sprintf("receipt-%s-%d", key, n), Bytes: len(body)})
+		writeJSON(wr, plainResponse{Path: rq.URL.Path, Key: key, Run: n, Receipt: fmt.Sprintf("receipt-%s-%d", key, n), Bytes: len(body)})
 	}))
 }
 
-type plainAnswer struct {
+// plainResponse is the body of the response to a call; Run is how often the call
+// has been run.
+type plainResponse struct {
 	Path    string `json:"path"`
 	Key     string `json:"key"`
 	Run     int    `json:"run"`
--- a/standin/replica.go
+++ b/standin/replica.go
@@ -8,50 +8,60 @@
 	"time"
 )
 
-// ReplicaOptions describe a replica as the users' platform has them.
+// ReplicaOptions describe a replica of the users' platform.
 type ReplicaOptions struct {
+	// ID is the replica's instance ID.
 	ID string
-	// Events is how many events its streams have, Gap the time between them.
+	// Events is the number of events of a stream, Gap the time between them. With 0
+	// events the replica answers with a whole body.
 	Events int
 	Gap    time.Duration
-	// Delay is the time until an answer begins.
+	// Delay is the time until a response begins.
 	Delay time.Duration
-	// Confidence is by model; a model that is missing tells none.
+	// Confidence is the value of the Confidence header by model; a model that is
+	// missing sends none.
 	Confidence map[string]string
 }
 
-// ReplicaFaults are a replica's faults. The zero value has none.
+// ReplicaFaults are the faults that a replica injects. The zero value injects none.
 type ReplicaFaults struct {
-	// Status replaces the status of every answer.
+	// Status, if not 0, is the status of every response, which then has no body.
 	Status int
-	// NotRun makes it refuse every request, truthfully.
+	// NotRun makes the replica refuse every request without running it, with
+	// status 503 and the header Not-Executed.
 	NotRun bool
-	// NotRunModel makes it refuse so the requests for one model.
+	// NotRunModel is a model whose requests are refused as with NotRun.
 	NotRunModel string
-	// CutAfter breaks streams after so many events, within the next one.
+	// CutAfter, if not 0, is the number of events after which a stream is aborted in
+	// the middle of the next one.
 	CutAfter int
-	// Silent makes it run requests and never answer.
+	// Silent makes the replica run requests and never answer them.
 	Silent bool
-	// OtherRequestID is the request id that its answers carry instead.
+	// OtherRequestID, if not empty, replaces the request's ID in responses.
 	OtherRequestID string
-	// Unsigned leaves out what marks an answer as the service's own.
+	// Unsigned leaves out the header Response-Signature, which marks a response as
+	// the service's own.
 	Unsigned bool
-	// Truncated breaks whole answers in the middle.
+	// Truncated aborts responses other than streams in the middle of the body.
 	Truncated bool
 }
 
-// ReplicaRun is one request that a replica ran.
+// ReplicaRun describes a request that a replica ran.
 type ReplicaRun struct {
+	// Request is the ID that the request carries in the header Attempt-Id.
 	Request string
 	Header  http.Header
-	Target  string
-	Body    string
-	At      time.Time
-	// Disconnected tells that the caller went before the end.
+	// Target is the request target: path and query.
+	Target string
+	Body   string
+	// At is when the run started.
+	At time.Time
+	// Disconnected reports whether the client disconnected before the end.
 	Disconnected bool
 }
 
-// Replica stands in for a replica of the users' platform.
+// Replica simulates a replica on the users' platform. Its methods may be called
+// concurrently.
 //
 // mu guards faults and runs. No other lock is taken while it is held.
 type Replica struct {
@@ -61,17 +71,17 @@
 	runs   []*ReplicaRun
 }
 
-// NewReplica gives a replica.
+// NewReplica returns a replica without faults.
 func NewReplica(opt ReplicaOptions) *Replica { return &Replica{opt: opt} }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the faults in force.
 func (re *Replica) SetFaults(fa ReplicaFaults) {
 	re.mu.Lock()
 	defer re.mu.Unlock()
 	re.faults = fa
 }
 
-// Runs gives the requests that were run.
+// Runs returns the requests that the replica has run, in that order.
 func (re *Replica) Runs() []ReplicaRun {
 	re.mu.Lock()
 	defer re.mu.Unlock()
@@ -82,7 +92,7 @@
 	return out
 }
 
-// Handler serves requests.
+// Handler returns the handler of requests.
 func (re *Replica) Handler() http.Handler { return http.HandlerFunc(re.serve) }
 
 func (re *Replica) serve(wr http.ResponseWriter, rq *http.Request) {
@@ -110,19 +120,20 @@
 	re.mu.Unlock()
 	if fa.Silent || !wait(rq, re.opt.Delay) {
 		<-rq.Context().Done()
-		re.left(ru)
+		re.setDisconnected(ru)
 		panic(http.ErrAbortHandler)
 	}
-	re.answer(wr, rq, ru, fa)
+	re.respond(wr, rq, ru, fa)
 }
 
-func (re *Replica) left(ru *ReplicaRun) {
+func (re *Replica) setDisconnected(ru *ReplicaRun) {
 	re.mu.Lock()
 	defer re.mu.Unlock()
 	ru.Disconnected = true
 }
 
-// wait lets time pass; false when the caller left meanwhile.
+// wait blocks until a duration has passed or the client has disconnected, and
+// reports whether the duration has passed.
 func wait(rq *http.Request, du time.Duration) bool {
 	if du == 0 {
 		return true
@@ -137,7 +148,7 @@
 	}
 }
 
-func (re *Replica) answer(wr http.ResponseWriter, rq *http.Request, ru *ReplicaRun, fa ReplicaFaults) {
+func (re *Replica) respond(wr http.ResponseWriter, rq *http.Request, ru *ReplicaRun, fa ReplicaFaults) {
 	he := wr.Header()
 	he.Set("Attempt-Id", ru.Request)
 	if fa.OtherRequestID != "" {
@@ -163,6 +174,7 @@
 	}
 }
 
+// stream sends the events after Last-Event-Id.
 func (re *Replica) stream(wr http.ResponseWriter, rq *http.Request, ru *ReplicaRun, fa ReplicaFaults) {
 	wr.Header().Set("Content-Type", "text/event-stream")
 	first, _ := strconv.Atoi(rq.Header.Get("Last-Event-Id"))
@@ -175,7 +187,7 @@
 		}
 		_, _ = fmt.Fprintf(wr, "id: %d\ndata: piece %d of %s\n\n", n, n, ru.Request)
 		if rc.Flush() != nil || !wait(rq, re.opt.Gap) {
-			re.left(ru)
+			re.setDisconnected(ru)
 			panic(http.ErrAbortHandler)
 		}
 	}
--- a/standin/store.go
+++ b/standin/store.go
@@ -11,61 +11,72 @@
 	"tanagerpoint.example/tanager/store"
 )
 
-// progressInterval is the time between two signs of life of a watch.
+// progressInterval is the longest time between two messages of a watch: without
+// events the store sends an empty one, which tells the client its revision.
 const progressInterval = 500 * time.Millisecond
 
-// maxValueBytes is the largest value that the store holds.
+// maxValueBytes bounds the size of a value in transactions of the etcd API.
 const maxValueBytes = 1 << 20
 
-// Store stands in for the platform's key-value service. It speaks the subset
-// of the etcd v3 JSON API that the system uses.
+// Store simulates the platform's key-value service in memory. Handler serves the
+// subset of the etcd v3 JSON API that the clients use, KVHandler the API of the
+// users' platform. Its methods may be called concurrently.
+//
+// mu guards the fields below it.
 type Store struct {
 	FaultInjector
 
-	mu       sync.Mutex
+	mu sync.Mutex
+	// revision is that of the last change. Granting a lease advances it as well.
 	revision int64
 	pairs    map[string]storedPair
-	events   []store.WireEvent
-	leases   map[int64]storedLease
-	changed  chan struct{}
-	reads    int64
-	writes   int64
-	// compacted is the revision up to which there is no history.
-	compacted int64
+	// events is the history of changes since the last compaction.
+	events []store.WireEvent
+	leases map[int64]storedLease
+	// changed is closed, and replaced, when events are added or compacted.
+	changed chan struct{}
+	// reads and writes count the calls, see Calls.
+	reads  int64
+	writes int64
+	// compactedRevision is the revision up to which events are dropped.
+	compactedRevision int64
 }
 
+// storedPair is a key with its value; lease is 0 without a lease.
 type storedPair struct {
 	kv    store.WireKeyValue
 	lease int64
 }
 
+// storedLease is a lease; ttl is in seconds.
 type storedLease struct {
 	ttl       int64
 	expiresAt time.Time
 }
 
-// NewStore gives an empty store.
+// NewStore returns an empty store at revision 1.
 func NewStore() *Store {
 	st := &Store{revision: 1, pairs: map[string]storedPair{}, leases: map[int64]storedLease{}, changed: make(chan struct{})}
-	st.losable = func(rq *http.Request) bool { return rq.URL.Path == "/v3/kv/txn" || rq.URL.Path == "/v1/kv-txn" }
+	st.writeMatcher = func(rq *http.Request) bool { return rq.URL.Path == "/v3/kv/txn" || rq.URL.Path == "/v1/kv-txn" }
 	return st
 }
 
-// Calls counts the reads and writes so far; a waiting watch is a read.
+// Calls returns the numbers of reads and writes so far. Opening a watch is a read,
+// a call about a lease a write; KVHandler does not count renewing and revoking one.
 func (st *Store) Calls() (reads, writes int64) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return st.reads, st.writes
 }
 
-// Revision gives the revision of the last change.
+// Revision returns the current revision: that of the last change or granted lease.
 func (st *Store) Revision() int64 {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return st.revision
 }
 
-// Handler serves the API.
+// Handler returns the handler of the etcd API.
 func (st *Store) Handler() http.Handler {
 	mu := http.NewServeMux()
 	mu.HandleFunc("POST /v3/kv/range", st.handleRange)
@@ -84,8 +95,8 @@
 	}
 	st.mu.Lock()
 	st.reads++
-	st.expire()
-	rs := st.find(rg)
+	st.revokeExpired()
+	rs := st.findRange(rg)
 	st.mu.Unlock()
 	writeJSON(wr, rs)
 }
@@ -101,19 +112,21 @@
 	}
 	st.mu.Lock()
 	st.writes++
-	st.expire()
-	before := len(st.events)
+	st.revokeExpired()
+	eventsBefore := len(st.events)
 	st.revision++
-	rs := st.run(tx)
-	if len(st.events) == before {
+	rs := st.runTxn(tx)
+	if len(st.events) == eventsBefore {
 		st.revision--
 	}
 	rs.Header.Revision = st.revision
-	st.wake(before)
+	st.notifyWatches(eventsBefore)
 	st.mu.Unlock()
 	writeJSON(wr, rs)
 }
 
+// tooLarge reports whether a transaction, or one nested in it, puts a value of
+// more than maxValueBytes.
 func tooLarge(tx store.WireTxn) bool {
 	for _, op := range slices.Concat(tx.Success, tx.Failure) {
 		if op.Put != nil && len(op.Put.Value) > maxValueBytes || op.Txn != nil && tooLarge(*op.Txn) {
@@ -123,8 +136,9 @@
 	return false
 }
 
-// run carries out a transaction at the current revision.
-func (st *Store) run(tx store.WireTxn) store.WireTxnResponse {
+// runTxn carries out a transaction; its changes get the current revision. The
+// caller holds mu, as for all methods below that take no lock.
+func (st *Store) runTxn(tx store.WireTxn) store.WireTxnResponse {
 	rs := store.WireTxnResponse{Header: store.WireHeader{Revision: st.revision}, Succeeded: true}
 	for _, cm := range tx.Compare {
 		if st.pairs[string(cm.Key)].kv.ModRevision != cm.ModRevision {
@@ -144,16 +158,16 @@
 func (st *Store) runOp(op store.WireOp) store.WireOpResponse {
 	switch {
 	case op.Range != nil:
-		found := st.find(*op.Range)
+		found := st.findRange(*op.Range)
 		return store.WireOpResponse{Range: &found}
 	case op.Put != nil:
 		st.put(*op.Put)
 	case op.Delete != nil:
-		for _, kv := range st.find(*op.Delete).Kvs {
+		for _, kv := range st.findRange(*op.Delete).Kvs {
 			st.remove(string(kv.Key))
 		}
 	case op.Txn != nil:
-		rs := st.run(*op.Txn)
+		rs := st.runTxn(*op.Txn)
 		return store.WireOpResponse{Txn: &rs}
 	}
 	return store.WireOpResponse{}
@@ -174,7 +188,7 @@
 	st.events = append(st.events, store.WireEvent{Type: "DELETE", Kv: store.WireKeyValue{Key: []byte(key), ModRevision: st.revision}})
 }
 
-func (st *Store) find(rg store.WireRange) store.WireRangeResponse {
+func (st *Store) findRange(rg store.WireRange) store.WireRangeResponse {
 	rs := store.WireRangeResponse{Header: store.WireHeader{Revision: st.revision}}
 	for key, pa := range st.pairs {
 		if inRange(key, rg.Key, rg.RangeEnd) {
@@ -192,18 +206,20 @@
 	return key >= string(from) && key < string(end)
 }
 
-// expire deletes the pairs of lapsed leases.
-func (st *Store) expire() {
-	before := len(st.events)
+// revokeExpired revokes the leases that have expired.
+func (st *Store) revokeExpired() {
+	eventsBefore := len(st.events)
 	for id, le := range st.leases {
 		if time.Now().After(le.expiresAt) {
-			st.endLease(id)
+			st.revokeLease(id)
 		}
 	}
-	st.wake(before)
+	st.notifyWatches(eventsBefore)
 }
 
-func (st *Store) endLease(id int64) {
+// revokeLease ends a lease and deletes the pairs that are bound to it, each at a
+// revision of its own.
+func (st *Store) revokeLease(id int64) {
 	delete(st.leases, id)
 	for key, pa := range st.pairs {
 		if pa.lease == id {
@@ -213,14 +229,17 @@
 	}
 }
 
-// wake tells waiting watches of events after an index.
-func (st *Store) wake(before int) {
-	if len(st.events) > before {
+// notifyWatches wakes the waiting watches if there are more events than
+// eventsBefore.
+func (st *Store) notifyWatches(eventsBefore int) {
+	if len(st.events) > eventsBefore {
 		close(st.changed)
 		st.changed = make(chan struct{})
 	}
 }
 
+// handleWatch sends the events of a range as a stream of lines until the client
+// disconnects. The faults Down and Freeze take effect on open watches too.
 func (st *Store) handleWatch(wr http.ResponseWriter, rq *http.Request) {
 	var wa store.WireWatch
 	if !readJSON(wr, rq, &wa) {
@@ -230,7 +249,7 @@
 	st.reads++
 	st.mu.Unlock()
 	next := wa.Create.StartRevision
-	st.sendLine(wr, store.WireWatchResult{Created: true, Header: store.WireHeader{Revision: next - 1}})
+	st.sendResult(wr, store.WireWatchResult{Created: true, Header: store.WireHeader{Revision: next - 1}})
 	for rq.Context().Err() == nil {
 		fa := st.Faults()
 		if fa.Down {
@@ -240,13 +259,14 @@
 			<-rq.Context().Done()
 			return
 		}
-		next = st.report(wr, rq, wa.Create, next)
+		next = st.sendEvents(wr, rq, wa.Create, next)
 	}
 }
 
-// report sends the events from a revision on, or a sign of life, and gives the
-// revision to go on from.
-func (st *Store) report(wr http.ResponseWriter, rq *http.Request, wa store.WireWatchCreate, next int64) int64 {
+// sendEvents sends the events from the revision next on, or an empty message if
+// there are none. It then blocks until there may be more or progressInterval has
+// passed, and returns the revision from which to continue.
+func (st *Store) sendEvents(wr http.ResponseWriter, rq *http.Request, wa store.WireWatchCreate, next int64) int64 {
 	st.mu.Lock()
 	changed, revision := st.changed, st.revision
 	re := store.WireWatchResult{Header: store.WireHeader{Revision: revision}}
@@ -257,7 +277,7 @@
 		}
 	}
 	st.mu.Unlock()
-	st.sendLine(wr, re)
+	st.sendResult(wr, re)
 	select {
 	case <-changed:
 	case <-time.After(progressInterval):
@@ -266,7 +286,7 @@
 	return revision + 1
 }
 
-func (st *Store) sendLine(wr http.ResponseWriter, re store.WireWatchResult) {
+func (st *Store) sendResult(wr http.ResponseWriter, re store.WireWatchResult) {
 	_ = json.NewEncoder(wr).Encode(store.WireWatchLine{Result: re})
 	if fl, ok := wr.(http.Flusher); ok {
 		fl.Flush()
@@ -294,7 +314,7 @@
 	}
 	st.mu.Lock()
 	st.writes++
-	st.expire()
+	st.revokeExpired()
 	held, ok := st.leases[le.ID]
 	if ok {
 		held.expiresAt = time.Now().Add(time.Duration(held.ttl) * time.Second)
@@ -311,17 +331,18 @@
 	}
 	st.mu.Lock()
 	st.writes++
-	before := len(st.events)
-	st.endLease(le.ID)
-	st.wake(before)
+	eventsBefore := len(st.events)
+	st.revokeLease(le.ID)
+	st.notifyWatches(eventsBefore)
 	st.mu.Unlock()
 	writeJSON(wr, store.WireHeader{})
 }
 
-// ExpireLeases makes lapsed leases take effect now, as the platform does by
-// itself. Stand-ins without traffic need it.
+// ExpireLeases revokes the leases that have expired, which the platform does by
+// itself. The stand-in does it only at some calls, so a test without traffic must
+// call this method.
 func (st *Store) ExpireLeases() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.expire()
+	st.revokeExpired()
 }
--- a/standin/vmlist.go
+++ b/standin/vmlist.go
@@ -8,57 +8,62 @@
 	"tanagerpoint.example/tanager/vm"
 )
 
-// VMListPath is where the VM list is read.
+// VMListPath is the path of the VM list.
 const VMListPath = "/vms"
 
-// VMList stands in for the platform's VM list. Changes show after a lag.
+// VMList simulates the platform's VM list. Changes become visible after a lag. Its
+// methods may be called concurrently.
 type VMList struct {
 	FaultInjector
 
-	mu      sync.Mutex
-	lag     time.Duration
+	mu  sync.Mutex
+	lag time.Duration
+	// pending lists the changes that are not visible yet, in the order of their
+	// times; vms is the visible list.
 	pending []vmChange
 	vms     map[vm.ID]vm.VM
 }
 
+// vmChange adds, replaces or removes a VM at a time.
 type vmChange struct {
-	showAt time.Time
-	vm     vm.VM
-	gone   bool
+	visibleAt time.Time
+	vm        vm.VM
+	removed   bool
 }
 
-// NewVMList gives an empty list with a lag.
+// NewVMList returns an empty list whose changes become visible after lag.
 func NewVMList(lag time.Duration) *VMList {
 	return &VMList{lag: lag, vms: map[vm.ID]vm.VM{}}
 }
 
-// Put adds or changes a VM, to be seen after the lag.
-func (li *VMList) Put(v vm.VM) { li.change(vmChange{vm: v}) }
+// Put adds or replaces a VM, which becomes visible after the lag.
+func (li *VMList) Put(v vm.VM) { li.addChange(vmChange{vm: v}) }
 
-// Remove takes a VM off the list, to be seen after the lag.
-func (li *VMList) Remove(id vm.ID) { li.change(vmChange{vm: vm.VM{ID: id}, gone: true}) }
+// Remove removes a VM, which stays visible until the lag has passed.
+func (li *VMList) Remove(id vm.ID) { li.addChange(vmChange{vm: vm.VM{ID: id}, removed: true}) }
 
-func (li *VMList) change(ch vmChange) {
+func (li *VMList) addChange(ch vmChange) {
 	li.mu.Lock()
 	defer li.mu.Unlock()
-	ch.showAt = time.Now().Add(li.lag)
+	ch.visibleAt = time.Now().Add(li.lag)
 	li.pending = append(li.pending, ch)
 }
 
-// Handler serves the list.
+// Handler returns the handler of the list.
 func (li *VMList) Handler() http.Handler {
 	mu := http.NewServeMux()
-	mu.HandleFunc("GET "+VMListPath, func(wr http.ResponseWriter, _ *http.Request) { writeJSON(wr, li.groups()) })
+	mu.HandleFunc("GET "+VMListPath, func(wr http.ResponseWriter, _ *http.Request) { writeJSON(wr, li.targetGroups()) })
 	return li.Wrap(mu)
 }
 
-func (li *VMList) groups() []vm.TargetGroup {
+// targetGroups applies the changes that are due and returns the list.
+func (li *VMList) targetGroups() []vm.TargetGroup {
 	li.mu.Lock()
 	defer li.mu.Unlock()
-	for len(li.pending) > 0 && !time.Now().Before(li.pending[0].showAt) {
+	for len(li.pending) > 0 && !time.Now().Before(li.pending[0].visibleAt) {
 		ch := li.pending[0]
 		li.pending = li.pending[1:]
-		if ch.gone {
+		if ch.removed {
 			delete(li.vms, ch.vm.ID)
 			continue
 		}
--- a/standin/weights.go
+++ b/standin/weights.go
@@ -6,30 +6,33 @@
 	"time"
 )
 
-// Weights stands in for the rate-limited weight store.
+// Weights simulates the rate-limited weight store. Its methods may be called
+// concurrently.
 type Weights struct {
 	FaultInjector
 
-	every  time.Duration
-	mu     sync.Mutex
-	freeAt time.Time
+	interval time.Duration
+	mu       sync.Mutex
+	// nextAt is when the next read is allowed; mu guards it.
+	nextAt time.Time
 }
 
-// NewWeights gives a store that serves one read in each interval.
-func NewWeights(every time.Duration) *Weights { return &Weights{every: every} }
+// NewWeights returns a store that allows one read per interval.
+func NewWeights(interval time.Duration) *Weights { return &Weights{interval: interval} }
 
-// Handler serves weights at /weights/{key}, and 429 beyond the limit.
+// Handler returns the handler of HEAD /weights/{key}. It responds with status 429
+// to reads beyond the limit.
 func (we *Weights) Handler() http.Handler {
 	mu := http.NewServeMux()
 	mu.HandleFunc("HEAD /weights/{key}", func(wr http.ResponseWriter, _ *http.Request) {
 		we.mu.Lock()
 		defer we.mu.Unlock()
-		if time.Now().Before(we.freeAt) {
+		if time.Now().Before(we.nextAt) {
 			wr.Header().Set("Retry-After", "1")
 			wr.WriteHeader(http.StatusTooManyRequests)
 			return
 		}
-		we.freeAt = time.Now().Add(we.every)
+		we.nextAt = time.Now().Add(we.interval)
 	})
 	return we.Wrap(mu)
 }
