--- a/measure/address.go
+++ b/measure/address.go
@@ -14,50 +14,61 @@
 const (
 	addressCallers = 400
 	addressEntries = 8
-	addressKeep    = 2 * time.Second
-	entryFailedIn  = 2 * time.Second
-	askInterval    = 100 * time.Millisecond
-	entriesDie     = 30 * time.Second
-	entriesBack    = 50 * time.Second
-	addressLength  = 90 * time.Second
+	// addressKeep is how long a caller uses the addresses of one answer.
+	addressKeep = 2 * time.Second
+	// failureDetection is how long a failed entry stays in the answers.
+	failureDetection = 2 * time.Second
+	// requestInterval is the shortest time between requests of a caller; each
+	// caller adds up to 50 ms to it.
+	requestInterval = 100 * time.Millisecond
+	// Every second entry is down from entriesStopAt to entriesRestartAt.
+	entriesStopAt    = 30 * time.Second
+	entriesRestartAt = 50 * time.Second
+	addressRunLength = 90 * time.Second
 )
 
-// replacing is a run in which every second entry dies and comes back. The
-// answers leave out what is not heard of when hears is set.
-type replacing struct {
-	*loop
+// addressRun simulates callers that look up the entries' addresses while every
+// second entry stops and restarts.
+type addressRun struct {
+	*eventLoop
 	rng     *rand.Rand
 	started time.Time
-	hears   bool
-	counts  [addressEntries]int
-	late    int
+	// detectsFailures makes answers leave out the entries that have been down for
+	// longer than failureDetection.
+	detectsFailures bool
+	// counts are the requests received by each entry.
+	counts [addressEntries]int
+	// lateRequests are those sent to an entry that is down at a time when no caller
+	// should use its address any more.
+	lateRequests int
 }
 
-func newReplacing(seed uint64, hears bool) *replacing {
-	re := &replacing{loop: newLoop(), rng: rand.New(rand.NewPCG(seed, 6)), hears: hears}
-	re.started = re.now
-	return re
+func newAddressRun(seed uint64, detectsFailures bool) *addressRun {
+	ar := &addressRun{eventLoop: newEventLoop(), rng: rand.New(rand.NewPCG(seed, 6)), detectsFailures: detectsFailures}
+	ar.started = ar.now
+	return ar
 }
 
-func (re *replacing) since() time.Duration { return re.now.Sub(re.started) }
+func (ar *addressRun) elapsed() time.Duration { return ar.now.Sub(ar.started) }
 
-func (re *replacing) dead(n int) bool {
-	return n%2 == 0 && re.since() > entriesDie && re.since() < entriesBack
+func (ar *addressRun) down(n int) bool {
+	return n%2 == 0 && ar.elapsed() > entriesStopAt && ar.elapsed() < entriesRestartAt
 }
 
-// answer gives the addresses as an entry would.
-func (re *replacing) answer() []int {
+// resolve returns the entries in the order of an answer to a caller in a random
+// failure domain.
+func (ar *addressRun) resolve() []int {
 	var cas []directory.Candidate
 	for n := range addressEntries {
-		if re.hears && re.dead(n) && re.since() > entriesDie+entryFailedIn {
+		if ar.detectsFailures && ar.down(n) && ar.elapsed() > entriesStopAt+failureDetection {
 			continue
 		}
 		name := strconv.Itoa(n)
 		cas = append(cas, directory.Candidate{VM: vm.ID(name), Address: name, FailureDomain: policy.FailureDomain(strconv.Itoa(n % 3))})
 	}
-	domain := policy.FailureDomain(strconv.Itoa(re.rng.IntN(3)))
+	callerDomain := policy.FailureDomain(strconv.Itoa(ar.rng.IntN(3)))
 	var out []int
-	for _, ad := range directory.Select(cas, func(vm.ID) bool { return false }, domain, re.rng) {
+	for _, ad := range directory.Select(cas, func(vm.ID) bool { return false }, callerDomain, ar.rng) {
 		n, err := strconv.Atoi(ad.Address)
 		if err == nil {
 			out = append(out, n)
@@ -66,56 +77,58 @@
 	return out
 }
 
-// caller asks the first entry of its answer again and again. One that cannot
-// connect asks for another answer.
-func (re *replacing) caller() {
-	var list []int
+// startCaller starts a caller that sends its requests to the first address of its
+// answer. It asks for a new answer when addressKeep has passed or the entry is down.
+func (ar *addressRun) startCaller() {
+	var addresses []int
 	var until time.Time
-	re.every(askInterval+time.Duration(re.rng.IntN(50))*time.Millisecond, func() {
-		if re.now.After(until) {
-			list, until = re.answer(), re.now.Add(addressKeep)
+	ar.every(requestInterval+time.Duration(ar.rng.IntN(50))*time.Millisecond, func() {
+		if ar.now.After(until) {
+			addresses, until = ar.resolve(), ar.now.Add(addressKeep)
 		}
-		n := list[0]
-		if !re.dead(n) {
-			re.counts[n]++
+		n := addresses[0]
+		if !ar.down(n) {
+			ar.counts[n]++
 			return
 		}
 		until = time.Time{}
-		if re.since() > entriesDie+entryFailedIn+addressKeep {
-			re.late++
+		if ar.elapsed() > entriesStopAt+failureDetection+addressKeep {
+			ar.lateRequests++
 		}
 	})
 }
 
-func (re *replacing) run() {
+// run runs the simulation. Requests are counted only from entriesStopAt on.
+func (ar *addressRun) run() {
 	for range addressCallers {
-		re.caller()
+		ar.startCaller()
 	}
-	re.loop.run(entriesDie)
-	re.counts = [addressEntries]int{}
-	re.loop.run(addressLength - entriesDie)
+	ar.eventLoop.run(entriesStopAt)
+	ar.counts = [addressEntries]int{}
+	ar.eventLoop.run(addressRunLength - entriesStopAt)
 }
 
-// spread compares the entries that lived all the time.
-func (re *replacing) spread() float64 {
+// maxToMean returns the ratio of the most requests received by an entry to their
+// mean, over the entries that were never down.
+func (ar *addressRun) maxToMean() float64 {
 	most, sum := 0, 0
 	for n := 1; n < addressEntries; n += 2 {
-		most = max(most, re.counts[n])
-		sum += re.counts[n]
+		most = max(most, ar.counts[n])
+		sum += ar.counts[n]
 	}
 	return float64(most) / (float64(sum) / (addressEntries / 2))
 }
 
-// measureAddresses measures the spread of callers while half of the entries
-// are replaced.
+// measureAddresses measures how evenly callers spread over the other entries while
+// half of the entries are replaced, and how many requests still go to those.
 func measureAddresses(seed uint64) Row {
-	mine, base := newReplacing(seed, true), newReplacing(seed, false)
-	mine.run()
-	base.run()
+	production, baseline := newAddressRun(seed, true), newAddressRun(seed, false)
+	production.run()
+	baseline.run()
 	return Row{
 		Measure:   "address answers while half of the entries are replaced: max/mean of those that stay; requests to dead VMs after 2 s and the answer's keep",
-		Baselines: fmt.Sprintf("plain random over the VM list: %.2f, %d", base.spread(), base.late),
-		Figure:    fmt.Sprintf("%.2f, %d", mine.spread(), mine.late),
-		Target:    "<= 1.2; none", Met: mine.spread() <= 1.2 && mine.late == 0,
+		Baselines: fmt.Sprintf("plain random over the VM list: %.2f, %d", baseline.maxToMean(), baseline.lateRequests),
+		Figure:    fmt.Sprintf("%.2f, %d", production.maxToMean(), production.lateRequests),
+		Target:    "<= 1.2; none", Met: production.maxToMean() <= 1.2 && production.lateRequests == 0,
 	}
 }
--- a/measure/cascade.go
+++ b/measure/cascade.go
@@ -10,28 +10,34 @@
 
 const (
 	cascadeRequests = 40_000
-	qualityTarget   = 0.86
-	// ratedShare of the answers are rated, ratingLag requests later.
+	// qualityTarget is the mean quality, from 0 to 1, to be reached.
+	qualityTarget = 0.86
+	// ratedShare is the share of answers that are rated. A rating arrives ratingLag
+	// requests after its answer.
 	ratedShare = 0.1
 	ratingLag  = 300
-	// ratingNoise is the standard deviation of one rating.
+	// ratingNoise is the standard deviation of a rating from the true quality.
 	ratingNoise = 0.1
-	// settledWindow is over how many requests quality is averaged.
-	settledWindow = 2000
+	// qualityWindow is the number of requests over which regained averages the
+	// quality.
+	qualityWindow = 2000
 )
 
-// world is the true quality of three models for three kinds of work.
-type world struct {
-	works   []cascade.Work
-	mix     []float64
-	arms    []cascade.Arm
+// workload is a mix of three kinds of work, and the true quality of three models
+// for each of them.
+type workload struct {
+	works []cascade.Work
+	// kindShares are the shares of the kinds in the requests.
+	kindShares []float64
+	arms       []cascade.Arm
+	// quality is the true quality by kind and arm.
 	quality [][]float64
 }
 
-func newWorld() *world {
-	return &world{
-		works: []cascade.Work{"ledger summary", "condition note", "folio tag"},
-		mix:   []float64{0.4, 0.3, 0.3},
+func newWorkload() *workload {
+	return &workload{
+		works:      []cascade.Work{"ledger summary", "condition note", "folio tag"},
+		kindShares: []float64{0.4, 0.3, 0.3},
 		arms: []cascade.Arm{
 			{Model: "small", Version: "small-1", Cost: 10, Quality: 0.8},
 			{Model: "middle", Version: "middle-1", Cost: 40, Quality: 0.88},
@@ -41,77 +47,82 @@
 	}
 }
 
-// chooser decides an arm by its index.
+// armChooser returns the index of the arm for a request of a kind.
 type armChooser func(kind int) int
 
-// outcome is what a run of requests came to.
-type outcome struct {
-	cost    float64
-	quality float64
-	// perRequest holds each request's true quality and cost.
-	perRequest []served
-	rated      int
+// result is the result of a run: its total cost and mean true quality.
+type result struct {
+	cost       float64
+	quality    float64
+	perRequest []requestRecord
+	// rated is the number of ratings that have arrived.
+	rated int
 }
 
-type served struct {
+// requestRecord is a request's true quality and cost, and the number of ratings that
+// had arrived before it.
+type requestRecord struct {
 	quality float64
 	cost    float64
 	rated   int
 }
 
-// serve lets requests come; change may alter the world before each one.
-func (wo *world) serve(seed uint64, choose armChooser, rate func(kind, arm int, quality float64), change func(i int)) outcome {
+// run simulates cascadeRequests requests. It calls change before each one, which may
+// alter the workload, choose for the arm, and rate with each rating that arrives.
+func (wl *workload) run(seed uint64, choose armChooser, rate func(kind, arm int, quality float64), change func(i int)) result {
 	rng := rand.New(rand.NewPCG(seed, 2))
-	type late struct {
+	type delayedRating struct {
 		at, kind, arm int
 		quality       float64
 	}
-	var ratings []late
-	var ou outcome
+	var ratings []delayedRating
+	var rs result
 	for i := range cascadeRequests {
 		change(i)
 		for len(ratings) > 0 && ratings[0].at <= i {
 			ra := ratings[0]
 			ratings = ratings[1:]
-			ou.rated++
+			rs.rated++
 			rate(ra.kind, ra.arm, ra.quality)
 		}
-		kind := wo.kind(rng.Float64())
+		kind := wl.kind(rng.Float64())
 		arm := choose(kind)
-		quality := wo.quality[kind][arm]
-		cost := float64(wo.arms[arm].Cost)
-		ou.cost += cost
-		ou.quality += quality / cascadeRequests
-		ou.perRequest = append(ou.perRequest, served{quality, cost, ou.rated})
+		quality := wl.quality[kind][arm]
+		cost := float64(wl.arms[arm].Cost)
+		rs.cost += cost
+		rs.quality += quality / cascadeRequests
+		rs.perRequest = append(rs.perRequest, requestRecord{quality, cost, rs.rated})
 		if rng.Float64() < ratedShare {
-			seen := min(1, max(0, quality+rng.NormFloat64()*ratingNoise))
-			ratings = append(ratings, late{i + ratingLag, kind, arm, seen})
+			observed := min(1, max(0, quality+rng.NormFloat64()*ratingNoise))
+			ratings = append(ratings, delayedRating{i + ratingLag, kind, arm, observed})
 		}
 	}
-	return ou
+	return rs
 }
 
-func (wo *world) kind(draw float64) int {
-	for k, share := range wo.mix {
-		if draw -= share; draw < 0 {
+// kind returns the kind of work at a point from 0 to 1 of the distribution.
+func (wl *workload) kind(point float64) int {
+	for k, share := range wl.kindShares {
+		if point -= share; point < 0 {
 			return k
 		}
 	}
-	return len(wo.mix) - 1
+	return len(wl.kindShares) - 1
 }
 
-// hindsight gives the cheapest fixed assignment of kinds to arms that holds
-// the target, by its cost a request.
-func (wo *world) hindsight() float64 {
+// bestFixedCost returns the mean cost per request of the cheapest fixed assignment
+// of kinds to arms that reaches the quality target, with hindsight of the true
+// quality.
+func (wl *workload) bestFixedCost() float64 {
 	best := math.Inf(1)
-	n := len(wo.arms)
-	for code := range n * n * n {
-		cost, quality, rest := 0.0, 0.0, code
-		for k, share := range wo.mix {
+	n := len(wl.arms)
+	for assignment := range n * n * n {
+		cost, quality, rest := 0.0, 0.0, assignment
+		for k, share := range wl.kindShares {
 			arm := rest % n
 			rest /= n
-			cost += share * float64(wo.arms[arm].Cost)
-			quality += share * wo.quality[k][arm]
+			cost += share * float64(wl.arms[arm].Cost)
+			quality += share * wl.quality[k][arm]
 		}
 		if quality >= qualityTarget {
 			best = min(best, cost)
@@ -123,45 +134,47 @@
 func noRatings(int, int, float64) {}
 func noChange(int)                {}
 
-// ours gives the chooser that serves.
-func (wo *world) ours(seed uint64) (armChooser, func(kind, arm int, quality float64)) {
+// productionChooser returns functions that choose and rate with the chooser that is
+// used in production.
+func (wl *workload) productionChooser(seed uint64) (armChooser, func(kind, arm int, quality float64)) {
 	ch := cascade.NewChooser(seed)
-	choose := func(kind int) int { return ch.Choose(wo.works[kind], wo.arms, qualityTarget).Index }
-	rate := func(kind, arm int, quality float64) { ch.Rate(wo.works[kind], wo.arms[arm].Version, quality) }
+	choose := func(kind int) int { return ch.Choose(wl.works[kind], wl.arms, qualityTarget).Index }
+	rate := func(kind, arm int, quality float64) { ch.Rate(wl.works[kind], wl.arms[arm].Version, quality) }
 	return choose, rate
 }
 
-// threshold takes the cheapest arm whose stated quality is at the target.
-func (wo *world) threshold(int) int {
-	for i, ar := range wo.arms {
+// fixedThreshold returns the cheapest arm whose configured quality reaches the
+// target.
+func (wl *workload) fixedThreshold(int) int {
+	for i, ar := range wl.arms {
 		if ar.Quality >= qualityTarget {
 			return i
 		}
 	}
-	return len(wo.arms) - 1
+	return len(wl.arms) - 1
 }
 
-// measureCascade measures cost at the quality target.
+// measureCascade measures the cost at the quality target.
 func measureCascade(seed uint64) Row {
-	wo := newWorld()
-	per := func(ou outcome) (cost, quality float64) { return ou.cost / cascadeRequests, ou.quality }
-	choose, rate := wo.ours(seed)
-	cost, quality := per(wo.serve(seed, choose, rate, noChange))
-	best := wo.hindsight()
+	wl := newWorkload()
+	per := func(rs result) (cost, quality float64) { return rs.cost / cascadeRequests, rs.quality }
+	choose, rate := wl.productionChooser(seed)
+	cost, quality := per(wl.run(seed, choose, rate, noChange))
+	best := wl.bestFixedCost()
 	baselines := ""
-	cheapestHolding := math.Inf(1)
+	cheapestOnTarget := math.Inf(1)
 	for _, ba := range []struct {
 		name   string
 		choose armChooser
 	}{
-		{"always best", func(int) int { return len(wo.arms) - 1 }},
+		{"always best", func(int) int { return len(wl.arms) - 1 }},
 		{"always cheapest", func(int) int { return 0 }},
-		{"fixed threshold", wo.threshold},
+		{"fixed threshold", wl.fixedThreshold},
 	} {
-		co, qu := per(wo.serve(seed, ba.choose, noRatings, noChange))
+		co, qu := per(wl.run(seed, ba.choose, noRatings, noChange))
 		baselines += fmt.Sprintf("%s %.1f at %.3f; ", ba.name, co, qu)
 		if qu >= qualityTarget {
-			cheapestHolding = min(cheapestHolding, co)
+			cheapestOnTarget = min(cheapestOnTarget, co)
 		}
 	}
 	return Row{
@@ -169,39 +182,39 @@
 		Baselines: baselines + fmt.Sprintf("hindsight %.1f", best),
 		Figure:    fmt.Sprintf("%.1f at %.3f (%.2f of hindsight)", cost, quality, cost/best),
 		Target:    "target held; cost <= 1.10 of hindsight and below every other that holds it",
-		Met:       quality >= qualityTarget && cost <= 1.10*best && cost < cheapestHolding,
+		Met:       quality >= qualityTarget && cost <= 1.10*best && cost < cheapestOnTarget,
 	}
 }
 
-// measureDrift measures how soon the target is regained after the quality of
-// the models in use fell.
+// measureDrift measures how many ratings it takes to reach the target again after
+// the quality of the models in use has fallen.
 func measureDrift(seed uint64) Row {
-	wo := newWorld()
+	wl := newWorkload()
 	const at = cascadeRequests / 2
-	choose, rate := wo.ours(seed)
-	ou := wo.serve(seed, choose, rate, func(i int) {
+	choose, rate := wl.productionChooser(seed)
+	rs := wl.run(seed, choose, rate, func(i int) {
 		if i == at {
-			wo.drift()
+			wl.drift()
 		}
 	})
-	regained := ou.regained(at)
-	drifted := newWorld()
-	base := drifted.serve(seed, drifted.threshold, noRatings, func(i int) {
+	regained := rs.regained(at)
+	drifted := newWorkload()
+	baseline := drifted.run(seed, drifted.fixedThreshold, noRatings, func(i int) {
 		if i == at {
 			drifted.drift()
 		}
 	})
 	return Row{
 		Measure:   "rated answers until the target is regained after drift",
-		Baselines: "fixed threshold " + regainedText(base.regained(at)),
+		Baselines: "fixed threshold " + regainedText(baseline.regained(at)),
 		Figure:    regainedText(regained), Target: "<= 500", Met: regained >= 0 && regained <= 500,
 	}
 }
 
 // drift lowers the quality of the cheaper models for two kinds of work.
-func (wo *world) drift() {
-	wo.quality[0][1] -= 0.2
-	wo.quality[2][0] -= 0.2
+func (wl *workload) drift() {
+	wl.quality[0][1] -= 0.2
+	wl.quality[2][0] -= 0.2
 }
 
 func regainedText(answers int) string {
@@ -211,58 +224,59 @@
 	return fmt.Sprint(answers)
 }
 
-// regained counts the rated answers from a request on until the quality of a
-// following window is at the target; -1 for never.
-func (ou outcome) regained(at int) int {
+// regained returns the number of ratings that arrive from a request on until a
+// window begins whose mean quality is at most 0.005 below the target, -1 if none does.
+func (rs result) regained(at int) int {
 	sum := 0.0
-	for i := at; i < len(ou.perRequest); i++ {
-		sum += ou.perRequest[i].quality
-		if i-at >= settledWindow {
-			sum -= ou.perRequest[i-settledWindow].quality
+	for i := at; i < len(rs.perRequest); i++ {
+		sum += rs.perRequest[i].quality
+		if i-at >= qualityWindow {
+			sum -= rs.perRequest[i-qualityWindow].quality
 		}
-		if i-at >= settledWindow-1 && sum/settledWindow >= qualityTarget-0.005 {
-			return ou.perRequest[i-settledWindow+1].rated - ou.perRequest[at].rated
+		if i-at >= qualityWindow-1 && sum/qualityWindow >= qualityTarget-0.005 {
+			return rs.perRequest[i-qualityWindow+1].rated - rs.perRequest[at].rated
 		}
 	}
 	return -1
 }
 
-// measureDisappearance measures the same when a model disappears.
-func measureDisappearance(seed uint64) Row {
-	wo := newWorld()
+// measureModelRemoval measures the same after a model has been removed.
+func measureModelRemoval(seed uint64) Row {
+	wl := newWorkload()
 	const at = cascadeRequests / 2
 	gone := false
-	// Without the middle model the chooser sees the other two.
-	rest := &world{works: wo.works, arms: []cascade.Arm{wo.arms[0], wo.arms[2]}}
+	// After the removal of the middle model the chooser sees only the other two.
+	remaining := &workload{works: wl.works, arms: []cascade.Arm{wl.arms[0], wl.arms[2]}}
 	ch := cascade.NewChooser(seed)
-	ou := wo.serve(seed, func(kind int) int {
+	rs := wl.run(seed, func(kind int) int {
 		if gone {
-			return 2 * ch.Choose(rest.works[kind], rest.arms, qualityTarget).Index
+			return 2 * ch.Choose(remaining.works[kind], remaining.arms, qualityTarget).Index
 		}
-		return ch.Choose(wo.works[kind], wo.arms, qualityTarget).Index
+		return ch.Choose(wl.works[kind], wl.arms, qualityTarget).Index
 	}, func(kind, arm int, quality float64) {
-		ch.Rate(wo.works[kind], wo.arms[arm].Version, quality)
+		ch.Rate(wl.works[kind], wl.arms[arm].Version, quality)
 	}, func(i int) { gone = i >= at })
-	regained := ou.regained(at)
+	regained := rs.regained(at)
 	return Row{
 		Measure: "rated answers until the target is regained after a model disappeared", Baselines: "none run",
 		Figure: regainedText(regained), Target: "<= 500", Met: regained >= 0 && regained <= 500,
 	}
 }
 
-// measureSilence measures the cost after ratings have stopped.
-func measureSilence(seed uint64) Row {
-	wo := newWorld()
+// measureStoppedRatings measures the cost after ratings have stopped, against the
+// cost before.
+func measureStoppedRatings(seed uint64) Row {
+	wl := newWorkload()
 	const at = cascadeRequests / 2
-	choose, rate := wo.ours(seed)
+	choose, rate := wl.productionChooser(seed)
 	stopped := false
-	ou := wo.serve(seed, choose, func(kind, arm int, quality float64) {
+	rs := wl.run(seed, choose, func(kind, arm int, quality float64) {
 		if !stopped {
 			rate(kind, arm, quality)
 		}
 	}, func(i int) { stopped = i >= at })
 	before, after := 0.0, 0.0
-	for i, se := range ou.perRequest {
+	for i, se := range rs.perRequest {
 		switch {
 		case i >= at/2 && i < at:
 			before += se.cost / (at / 2)
--- a/measure/clock.go
+++ b/measure/clock.go
@@ -1,6 +1,7 @@
-// Package measure drives the decision code in virtual time, from fixed seeds
-// and at the sizes of the two deployments, against simpler baselines. The fakes
-// beside it are an event loop and replicas with a number of slots each.
+// Package measure runs the decision code in simulations with virtual time, fixed
+// seeds and the sizes of the two deployments, and compares it with simpler
+// baselines. Simulated are the clock, the requests and replicas with a number of
+// slots each.
 package measure
 
 import (
@@ -8,46 +9,47 @@
 	"time"
 )
 
-// loop runs events in the order of their times.
-type loop struct {
-	now    time.Time
-	events eventHeap
-	order  int
+// eventLoop runs events in virtual time, in the order of their times and, at one
+// time, in the order in which they were added.
+type eventLoop struct {
+	now      time.Time
+	events   eventHeap
+	sequence int
 }
 
 type event struct {
-	at    time.Time
-	order int
-	run   func()
+	at       time.Time
+	sequence int
+	run      func()
 }
 
-func newLoop() *loop {
-	return &loop{now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)}
+func newEventLoop() *eventLoop {
+	return &eventLoop{now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)}
 }
 
-// after runs fn when a time has passed.
-func (lo *loop) after(wait time.Duration, fn func()) {
-	lo.order++
-	heap.Push(&lo.events, event{at: lo.now.Add(wait), order: lo.order, run: fn})
+// after runs fn once, when wait has passed.
+func (el *eventLoop) after(wait time.Duration, fn func()) {
+	el.sequence++
+	heap.Push(&el.events, event{at: el.now.Add(wait), sequence: el.sequence, run: fn})
 }
 
-// every runs fn again and again.
-func (lo *loop) every(interval time.Duration, fn func()) {
-	lo.after(interval, func() {
+// every runs fn after each interval, for as long as the loop runs.
+func (el *eventLoop) every(interval time.Duration, fn func()) {
+	el.after(interval, func() {
 		fn()
-		lo.every(interval, fn)
+		el.every(interval, fn)
 	})
 }
 
-// run goes on for a time.
-func (lo *loop) run(length time.Duration) {
-	end := lo.now.Add(length)
-	for len(lo.events) > 0 && !lo.events[0].at.After(end) {
-		ev := heap.Pop(&lo.events).(event)
-		lo.now = ev.at
+// run runs the events of the given length of time, and sets the clock to its end.
+func (el *eventLoop) run(length time.Duration) {
+	end := el.now.Add(length)
+	for len(el.events) > 0 && !el.events[0].at.After(end) {
+		ev := heap.Pop(&el.events).(event)
+		el.now = ev.at
 		ev.run()
 	}
-	lo.now = end
+	el.now = end
 }
 
 type eventHeap []event
@@ -57,7 +59,7 @@
 	if !eh[i].at.Equal(eh[j].at) {
 		return eh[i].at.Before(eh[j].at)
 	}
-	return eh[i].order < eh[j].order
+	return eh[i].sequence < eh[j].sequence
 }
 func (eh eventHeap) Swap(i, j int) { eh[i], eh[j] = eh[j], eh[i] }
 
--- a/measure/cmd/main.go
+++ b/measure/cmd/main.go
@@ -1,4 +1,5 @@
-// Command cmd runs the measures and writes their table.
+// Command cmd runs the measurements and prints their results as a table. With
+// -write it also writes the table to a file.
 package main
 
 import (
--- a/measure/exposure.go
+++ b/measure/exposure.go
@@ -9,70 +9,77 @@
 )
 
 const (
+	// rolloutRuns is the number of roll-outs simulated for each defect.
 	rolloutRuns = 400
-	// maxExposed bounds one roll-out's answers.
+	// maxExposed bounds the answers by the candidate in one roll-out.
 	maxExposed = 5000
-	// baselineAnswers of the version in use have been seen at the start, and
-	// baselinePerAnswer come with each answer of the candidate.
+	// baselineAnswers is the number of answers of the version in use before the
+	// roll-out, baselinePerAnswer the number for each answer of the candidate.
 	baselineAnswers   = 500
 	baselinePerAnswer = 4
-	// fixedWindow is the baseline check's number of answers.
+	// fixedWindow is the window of the baseline detector, in answers.
 	fixedWindow = 200
 )
 
-// fault is how a candidate differs from the version in use.
-type fault struct {
+// defect is how a candidate differs from the version in use.
+type defect struct {
 	name string
-	// failed and slow are probabilities, quality is added.
+	// failed and slow are added to the probabilities, quality to the mean quality.
 	failed  float64
 	slow    float64
 	quality float64
 }
 
+// The version in use fails and is slow with these probabilities. Its answers have
+// this mean quality, and take baselineSeconds to the first token, give or take 30%,
+// or slowSeconds if they are slow.
 const (
-	usualFailed  = 0.005
-	usualSlow    = 0.03
-	usualQuality = 0.82
-	slowSeconds  = 1.2
-	usualSeconds = 0.2
+	baselineFailed  = 0.005
+	baselineSlow    = 0.03
+	baselineQuality = 0.82
+	slowSeconds     = 1.2
+	baselineSeconds = 0.2
 )
 
-func draw(rng *rand.Rand, fa fault) (rollout.Outcome, float64) {
-	ou := rollout.Outcome{FirstToken: usualSeconds * (0.7 + 0.6*rng.Float64())}
-	if rng.Float64() < usualSlow+fa.slow {
+// sampleAnswer returns the outcome and the rating of a random answer of a version
+// with a defect.
+func sampleAnswer(rng *rand.Rand, df defect) (rollout.Outcome, float64) {
+	ou := rollout.Outcome{FirstToken: baselineSeconds * (0.7 + 0.6*rng.Float64())}
+	if rng.Float64() < baselineSlow+df.slow {
 		ou.FirstToken = slowSeconds
 	}
-	if rng.Float64() < usualFailed+fa.failed {
+	if rng.Float64() < baselineFailed+df.failed {
 		ou = rollout.Outcome{Failed: true}
 	}
-	return ou, min(1, max(0, usualQuality+fa.quality+rng.NormFloat64()*ratingNoise))
+	return ou, min(1, max(0, baselineQuality+df.quality+rng.NormFloat64()*ratingNoise))
 }
 
-// judge is a way of stopping a candidate.
-type judge interface {
-	stable(ou rollout.Outcome, quality float64)
-	// candidate takes in an answer, and tells whether to stop.
-	candidate(ou rollout.Outcome, quality float64) bool
+// detector decides when to stop the roll-out of a candidate.
+type detector interface {
+	// addStable adds an answer of the version in use.
+	addStable(ou rollout.Outcome, quality float64)
+	// addCandidate adds an answer of the candidate, and reports whether to stop.
+	addCandidate(ou rollout.Outcome, quality float64) bool
 }
 
-// sequential is the code that serves.
+// sequential is the detector that is used in production.
 type sequential struct {
 	guard   rollout.Guard
 	quality *rollout.Quality
 }
 
-func newSequential() judge {
-	return &sequential{quality: rollout.NewQuality(usualQuality, 0.02)}
+func newSequential() detector {
+	return &sequential{quality: rollout.NewQuality(baselineQuality, 0.02)}
 }
 
-func (se *sequential) stable(ou rollout.Outcome, quality float64) {
+func (se *sequential) addStable(ou rollout.Outcome, quality float64) {
 	se.guard.Stable(ou)
 	if !ou.Failed {
 		se.quality.Stable(quality)
 	}
 }
 
-func (se *sequential) candidate(ou rollout.Outcome, quality float64) bool {
+func (se *sequential) addCandidate(ou rollout.Outcome, quality float64) bool {
 	se.guard.Candidate(ou)
 	if !ou.Failed {
 		se.quality.Candidate(quality)
@@ -80,65 +87,67 @@
 	return se.guard.Verdict() != "" || se.quality.Rejects()
 }
 
-// windowed looks at each full window of answers, by the same margins.
+// windowed is the baseline: it compares each full window of the candidate's answers
+// with all answers of the version in use, with the margins of sequential.
 type windowed struct {
-	base, window sums
+	baseline, window outcomeSums
 }
 
-type sums struct{ n, failed, slow, quality float64 }
+type outcomeSums struct{ n, failed, slow, quality float64 }
 
-func newWindowed() judge { return &windowed{} }
+func newWindowed() detector { return &windowed{} }
 
-func (su *sums) add(ou rollout.Outcome, quality float64) {
+func (su *outcomeSums) add(ou rollout.Outcome, quality float64) {
 	su.n++
 	if ou.Failed {
 		su.failed++
 		return
 	}
-	if ou.FirstToken > 3*usualSeconds {
+	if ou.FirstToken > 3*baselineSeconds {
 		su.slow++
 	}
 	su.quality += quality
 }
 
-func (wi *windowed) stable(ou rollout.Outcome, quality float64) { wi.base.add(ou, quality) }
+func (wi *windowed) addStable(ou rollout.Outcome, quality float64) { wi.baseline.add(ou, quality) }
 
-func (wi *windowed) candidate(ou rollout.Outcome, quality float64) bool {
+func (wi *windowed) addCandidate(ou rollout.Outcome, quality float64) bool {
 	wi.window.add(ou, quality)
 	if wi.window.n < fixedWindow {
 		return false
 	}
-	wo, ba := wi.window, wi.base
-	wi.window = sums{}
-	worse := func(rate, base, margin float64) bool {
+	wo, ba := wi.window, wi.baseline
+	wi.window = outcomeSums{}
+	worse := func(rate, baseline, margin float64) bool {
 		const deviations = 3
-		return rate > base+margin+deviations*math.Sqrt(max(base, 0.005)/wo.n)
+		return rate > baseline+margin+deviations*math.Sqrt(max(baseline, 0.005)/wo.n)
 	}
 	answers := max(1, wo.n-wo.failed)
-	lost := ba.quality/(ba.n-ba.failed) - wo.quality/answers
+	qualityLoss := ba.quality/(ba.n-ba.failed) - wo.quality/answers
 	return worse(wo.failed/wo.n, ba.failed/ba.n, 0.01) ||
 		worse(wo.slow/wo.n, ba.slow/ba.n, 0.05) ||
-		lost > 0.02+3*ratingNoise/math.Sqrt(answers)
+		qualityLoss > 0.02+3*ratingNoise/math.Sqrt(answers)
 }
 
-// exposed gives the mean number of answers before the stop, and the share of
-// roll-outs that were stopped.
-func exposed(seed uint64, fa fault, make func() judge) (answers, stopped float64) {
+// simulateRollouts simulates rolloutRuns roll-outs. It returns the mean number of
+// answers by the candidate until the roll-out was stopped or maxExposed was reached,
+// and the share of roll-outs that were stopped.
+func simulateRollouts(seed uint64, df defect, newDetector func() detector) (answers, stopped float64) {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	for range rolloutRuns {
-		ju := make()
+		de := newDetector()
 		for range baselineAnswers {
-			ju.stable(draw(rng, fault{}))
+			de.addStable(sampleAnswer(rng, defect{}))
 		}
 		n := 0
 		for n < maxExposed {
 			n++
-			if ju.candidate(draw(rng, fa)) {
+			if de.addCandidate(sampleAnswer(rng, df)) {
 				stopped++
 				break
 			}
 			for range baselinePerAnswer {
-				ju.stable(draw(rng, fault{}))
+				de.addStable(sampleAnswer(rng, defect{}))
 			}
 		}
 		answers += float64(n)
@@ -146,29 +155,30 @@
 	return answers / rolloutRuns, stopped / rolloutRuns
 }
 
-// measureExposure measures answers by a bad version before it is stopped.
+// measureExposure measures the answers by a bad version before its roll-out is
+// stopped, and how often the roll-out of a good version is.
 func measureExposure(seed uint64) []Row {
-	_, mineFalse := exposed(seed, fault{}, newSequential)
-	_, baseFalse := exposed(seed, fault{}, newWindowed)
+	_, productionFalse := simulateRollouts(seed, defect{}, newSequential)
+	_, baselineFalse := simulateRollouts(seed, defect{}, newWindowed)
 	out := []Row{{
 		Measure:   fmt.Sprintf("good roll-outs stopped, of %d with %d answers", rolloutRuns, maxExposed),
-		Baselines: fmt.Sprintf("fixed window of %d: %.2f%%", fixedWindow, 100*baseFalse),
-		Figure:    fmt.Sprintf("%.2f%%", 100*mineFalse), Target: "<= 1%", Met: mineFalse <= 0.01,
+		Baselines: fmt.Sprintf("fixed window of %d: %.2f%%", fixedWindow, 100*baselineFalse),
+		Figure:    fmt.Sprintf("%.2f%%", 100*productionFalse), Target: "<= 1%", Met: productionFalse <= 0.01,
 	}}
-	for _, fa := range []fault{
+	for _, df := range []defect{
 		{name: "10% errors", failed: 0.10},
 		{name: "silence: 50% fail", failed: 0.50},
 		{name: "30% slow", slow: 0.30},
 		{name: "quality -0.1", quality: -0.1},
 		{name: "quality -0.3", quality: -0.3},
 	} {
-		mine, stopped := exposed(seed, fa, newSequential)
-		base, baseStopped := exposed(seed, fa, newWindowed)
+		production, stopped := simulateRollouts(seed, df, newSequential)
+		baseline, baselineStopped := simulateRollouts(seed, df, newWindowed)
 		out = append(out, Row{
-			Measure:   "answers by a bad version before it is stopped: " + fa.name,
-			Baselines: fmt.Sprintf("fixed window %.0f (%.0f%% stopped)", base, 100*baseStopped),
-			Figure:    fmt.Sprintf("%.1f (%.0f%% stopped)", mine, 100*stopped),
-			Target:    "half of it or less", Met: mine <= base/2 && stopped >= 0.99,
+			Measure:   "answers by a bad version before it is stopped: " + df.name,
+			Baselines: fmt.Sprintf("fixed window %.0f (%.0f%% stopped)", baseline, 100*baselineStopped),
+			Figure:    fmt.Sprintf("%.1f (%.0f%% stopped)", production, 100*stopped),
+			Target:    "half of it or less", Met: production <= baseline/2 && stopped >= 0.99,
 		})
 	}
 	return out
--- a/measure/fleet.go
+++ b/measure/fleet.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	// longest is the longest answer, in means.
-	longest = 4
-	// prefill is a replica's time to the first token.
+	// maxAnswerMeans bounds the length of an answer, as a multiple of the mean.
+	maxAnswerMeans = 4
+	// prefill is the time from the start of a job to its first token.
 	prefill = 150 * time.Millisecond
-	// perToken is a replica's time between tokens in a full batch.
+	// perToken is the time between tokens in a full batch.
 	perToken = 20 * time.Millisecond
-	// exchangeInterval is the time between entries' words of their usage.
+	// exchangeInterval is the time between two exchanges of the entries' state.
 	exchangeInterval = time.Second
-	// hop is the time from a caller to a replica.
-	hop = 2 * time.Millisecond
+	// networkDelay is the time for a message between a caller and a replica.
+	networkDelay = 2 * time.Millisecond
 )
 
-// service is the time that an answer holds a slot.
-func service(tokens float64) time.Duration {
+// serviceTime returns how long an answer of a number of tokens occupies a slot.
+func serviceTime(tokens float64) time.Duration {
 	return prefill + time.Duration(tokens*float64(perToken))
 }
 
-// site is the size of a deployment.
+// site is the size of a deployment; slots are those of one replica.
 type site struct {
 	name     string
 	entries  int
@@ -36,27 +36,27 @@
 	slots    int
 }
 
-// bagmati and savannah are today's deployments.
+// bagmati and savannah are the two deployments.
 var (
 	bagmati  = site{name: "Bagmati np-central", entries: 8, replicas: 10, slots: 8}
 	savannah = site{name: "Savannah Lane tt-south", entries: 8, replicas: 10, slots: 12}
 )
 
-// rate is the answers a second, of a mean length, that make up a part of what
-// a site's replicas can give.
+// rate returns the rate of requests, per second, whose answers of a mean length
+// in tokens take up a multiple of the site's capacity.
 func (st site) rate(load, tokens float64) float64 {
-	return load * float64(st.replicas*st.slots) / service(tokens).Seconds()
+	return load * float64(st.replicas*st.slots) / serviceTime(tokens).Seconds()
 }
 
-// replica serves jobs in slots, and queues what is beyond them.
+// replica runs jobs in slots and queues those that find no free slot.
 type replica struct {
 	running int
 	waiting []*job
 }
 
-// fleet is entries before replicas.
+// fleet simulates the entries of a site, each with a queue, and its replicas.
 type fleet struct {
-	*loop
+	*eventLoop
 	site     site
 	rng      *rand.Rand
 	queues   []scheduler
@@ -64,13 +64,13 @@
 	jobs     []*job
 }
 
-func newFleet(st site, seed uint64, make func(fl *fleet) scheduler) *fleet {
-	fl := &fleet{loop: newLoop(), site: st, rng: rand.New(rand.NewPCG(seed, 1))}
+func newFleet(st site, seed uint64, newScheduler func(fl *fleet) scheduler) *fleet {
+	fl := &fleet{eventLoop: newEventLoop(), site: st, rng: rand.New(rand.NewPCG(seed, 1))}
 	for range st.replicas {
 		fl.replicas = append(fl.replicas, &replica{})
 	}
 	for range st.entries {
-		qu := make(fl)
+		qu := newScheduler(fl)
 		qu.setCapacity(fl.now, float64(st.replicas*st.slots)/float64(st.entries))
 		fl.queues = append(fl.queues, qu)
 	}
@@ -83,7 +83,8 @@
 	return fl
 }
 
-// exchange tells each entry of the others' demand and usage, as peers do.
+// exchange divides the capacity among the entries by their demand, and tells each
+// the others' usage, as the exchange between peers does in production.
 func (fl *fleet) exchange() {
 	total := 0.0
 	demands := make([]float64, len(fl.queues))
@@ -98,15 +99,17 @@
 	fl.exchangeUsage()
 }
 
+// exchangeUsage tells each production queue the usage at the other entries. Baseline
+// queues do not use it.
 func (fl *fleet) exchangeUsage() {
 	reports := make([]admission.Report, len(fl.queues))
 	for n, qu := range fl.queues {
-		if ou, ok := qu.(*ours); ok {
-			reports[n] = ou.queue.Report(fl.now)
+		if pq, ok := qu.(*productionQueue); ok {
+			reports[n] = pq.queue.Report(fl.now)
 		}
 	}
 	for n, qu := range fl.queues {
-		ou, ok := qu.(*ours)
+		pq, ok := qu.(*productionQueue)
 		if !ok {
 			continue
 		}
@@ -117,25 +120,30 @@
 				others.Levels = append(others.Levels, re.Levels...)
 			}
 		}
-		ou.queue.SetFleet(fl.now, others)
+		pq.queue.SetFleet(fl.now, others)
 	}
 }
 
-// stream is a Poisson stream of requests.
+// stream is a Poisson stream of requests of one organisation and rank.
 type stream struct {
-	org    policy.OrganisationID
-	share  float64
-	rank   policy.RankID
-	order  int64
-	rate   float64
-	limit  time.Duration
-	from   time.Duration
-	until  time.Duration
+	org   policy.OrganisationID
+	share float64
+	rank  policy.RankID
+	order int64
+	// rate is in requests per second.
+	rate float64
+	// timeLimit is the time from a request to its deadline.
+	timeLimit time.Duration
+	// from and until bound the stream, counted from when it is added; an until of 0
+	// sets no end.
+	from  time.Duration
+	until time.Duration
+	// tokens is the mean length of the answers.
 	tokens float64
 }
 
-// offer lets a stream's requests come, spread over the entries at random.
-func (fl *fleet) offer(sm stream) {
+// addStream starts a stream, whose requests go to entries chosen at random.
+func (fl *fleet) addStream(sm stream) {
 	if sm.rate <= 0 {
 		return
 	}
@@ -153,25 +161,27 @@
 	fl.after(sm.from, arrive)
 }
 
+// arrive offers a new job of a stream to the queue of an entry.
 func (fl *fleet) arrive(sm stream) {
-	tokens := math.Ceil(math.Min(longest*sm.tokens, fl.rng.ExpFloat64()*sm.tokens))
+	tokens := math.Ceil(math.Min(maxAnswerMeans*sm.tokens, fl.rng.ExpFloat64()*sm.tokens))
 	jo := &job{
-		org: sm.org, share: max(1, sm.share), rank: sm.rank, order: sm.order, tokens: tokens, expected: sm.tokens,
-		arrived: fl.now, deadline: fl.now.Add(sm.limit), entry: fl.rng.IntN(len(fl.queues)),
+		org: sm.org, share: max(1, sm.share), rank: sm.rank, order: sm.order, tokens: tokens, expectedTokens: sm.tokens,
+		arrived: fl.now, deadline: fl.now.Add(sm.timeLimit), entry: fl.rng.IntN(len(fl.queues)),
 	}
 	fl.jobs = append(fl.jobs, jo)
 	fl.queues[jo.entry].offer(fl.now, jo)
 	fl.dispatch(jo.entry)
 }
 
-// dispatch sends what an entry's queue lets go.
+// dispatch sends the jobs that an entry's queue starts.
 func (fl *fleet) dispatch(n int) {
 	for _, jo := range fl.queues[n].next(fl.now) {
 		fl.send(jo)
 	}
 }
 
-// send gives a job to the less loaded of two replicas.
+// send sends a job to the least loaded of two replicas chosen at random, or of six
+// for the most urgent rank.
 func (fl *fleet) send(jo *job) {
 	choices := 2
 	if jo.order == 0 {
@@ -190,7 +200,7 @@
 		fl.start(jo)
 		return
 	}
-	// Engines honour priorities in their own queue.
+	// Engines order their own queue by priority.
 	i := len(a.waiting)
 	for i > 0 && a.waiting[i-1].order > jo.order {
 		i--
@@ -198,12 +208,13 @@
 	a.waiting = slices.Insert(a.waiting, i, jo)
 }
 
+// start runs a job in a free slot of its replica.
 func (fl *fleet) start(jo *job) {
 	re := jo.replica
 	re.running++
-	jo.firstToken = fl.now.Add(prefill + hop)
-	fl.after(service(jo.tokens), func() {
-		jo.ended = fl.now.Add(hop)
+	jo.firstToken = fl.now.Add(prefill + networkDelay)
+	fl.after(serviceTime(jo.tokens), func() {
+		jo.ended = fl.now.Add(networkDelay)
 		re.running--
 		if len(re.waiting) > 0 {
 			next := re.waiting[0]
@@ -215,9 +226,9 @@
 	})
 }
 
-// settled lists the jobs that arrived after the warm-up and whose deadlines
-// have passed.
-func (fl *fleet) settled(warmUp time.Time, keep func(jo *job) bool) []*job {
+// dueJobs returns the jobs that arrived after the warm-up, whose deadlines have
+// passed and for which keep returns true.
+func (fl *fleet) dueJobs(warmUp time.Time, keep func(jo *job) bool) []*job {
 	var out []*job
 	for _, jo := range fl.jobs {
 		if jo.arrived.After(warmUp) && jo.deadline.Before(fl.now) && keep(jo) {
@@ -227,15 +238,16 @@
 	return out
 }
 
-func ofRank(id policy.RankID) func(jo *job) bool {
+func hasRank(id policy.RankID) func(jo *job) bool {
 	return func(jo *job) bool { return jo.rank == id }
 }
 
-func ofOrg(id policy.OrganisationID) func(jo *job) bool {
+func hasOrganisation(id policy.OrganisationID) func(jo *job) bool {
 	return func(jo *job) bool { return jo.org == id }
 }
 
-// firstTokenP95 is in seconds, over the jobs that were answered.
+// firstTokenP95 returns the 95th percentile of the time to the first token, in
+// seconds, over the jobs that were started.
 func firstTokenP95(jos []*job) float64 {
 	var waits []float64
 	for _, jo := range jos {
@@ -246,6 +258,8 @@
 	return quantile(waits, 0.95)
 }
 
+// quantile sorts the values and returns the one at a share of them; NaN if there
+// are none.
 func quantile(values []float64, at float64) float64 {
 	if len(values) == 0 {
 		return math.NaN()
@@ -254,8 +268,9 @@
 	return values[min(len(values)-1, int(at*float64(len(values))))]
 }
 
-// answered gives the share of jobs answered in time.
-func answered(jos []*job) float64 {
+// shareInTime returns the share of jobs that were answered in time; NaN if there
+// are none.
+func shareInTime(jos []*job) float64 {
 	if len(jos) == 0 {
 		return math.NaN()
 	}
@@ -268,16 +283,17 @@
 	return float64(n) / float64(len(jos))
 }
 
-// slotSeconds adds up the slot time of jobs that ended within a window.
+// slotSeconds returns the total slot time, in seconds, of the jobs that ended since
+// from and for which keep returns true; with inTime only of those answered in time.
 func (fl *fleet) slotSeconds(from time.Time, keep func(jo *job) bool, inTime bool) float64 {
 	sum := 0.0
 	for _, jo := range fl.jobs {
 		if jo.ended.IsZero() || jo.ended.Before(from) || jo.ended.After(fl.now) || !keep(jo) || inTime && !jo.inTime() {
 			continue
 		}
-		sum += service(jo.tokens).Seconds()
+		sum += serviceTime(jo.tokens).Seconds()
 	}
 	return sum
 }
 
-func everyJob(*job) bool { return true }
+func anyJob(*job) bool { return true }
--- a/measure/placement.go
+++ b/measure/placement.go
@@ -13,41 +13,49 @@
 )
 
 const (
+	// reportLag is the age of the load that a replica reports.
 	reportLag = 2 * time.Second
-	// prefixes are the different prompts, cachedPrefixes those that a replica
-	// keeps.
-	prefixes       = 60
+	// prefixCount is the number of different prompt prefixes, cachedPrefixes the
+	// size of a replica's prefix cache.
+	prefixCount    = 60
 	cachedPrefixes = 16
-	// placementLoad is the part of the capacity that is asked for.
+	// placementLoad is the mean demand as a share of the capacity.
 	placementLoad   = 0.7
 	placementLength = 120 * time.Second
+	// placementTokens is the mean length of an answer.
 	placementTokens = 100
-	// tellInterval is the time between entries' reports of what they have in
-	// flight. They arrive an interval later.
-	tellInterval = 400 * time.Millisecond
+	// inFlightInterval is the time between the entries' reports of their requests in
+	// flight. A report arrives an interval after it was made.
+	inFlightInterval = 400 * time.Millisecond
 )
 
-// engineFake is a replica with slots, a prefix cache and a lagging report.
-type engineFake struct {
-	running int
-	waiting []func()
-	cache   []int
-	history []utilisation
+// simulatedEngine is a replica with slots, a prefix cache and a load report that
+// lags by reportLag.
+type simulatedEngine struct {
+	running     int
+	waiting     []func()
+	cache       []int
+	loadSamples []loadSample
 }
 
-type utilisation struct {
+// loadSample is the number of requests running or waiting from a time on.
+type loadSample struct {
 	at      time.Time
 	running int
 }
 
-func (en *engineFake) note(now time.Time) {
-	en.history = append(en.history, utilisation{now, en.running + len(en.waiting)})
-	for len(en.history) > 1 && now.Sub(en.history[1].at) > reportLag {
-		en.history = en.history[1:]
+// recordLoad adds a sample of the load and drops those that reportedLoad does not
+// need.
+func (en *simulatedEngine) recordLoad(now time.Time) {
+	en.loadSamples = append(en.loadSamples, loadSample{now, en.running + len(en.waiting)})
+	for len(en.loadSamples) > 1 && now.Sub(en.loadSamples[1].at) > reportLag {
+		en.loadSamples = en.loadSamples[1:]
 	}
 }
 
-func (en *engineFake) hit(prefix int) bool {
+// lookupPrefix reports whether a prefix is in the cache, and makes it the most
+// recently used.
+func (en *simulatedEngine) lookupPrefix(prefix int) bool {
 	i := slices.Index(en.cache, prefix)
 	if i >= 0 {
 		en.cache = append(slices.Delete(en.cache, i, i+1), prefix)
@@ -60,145 +68,155 @@
 	return false
 }
 
-// placing is one run of a way of choosing replicas.
-type placing struct {
-	*loop
+// placementRun is a simulation of one way to choose replicas.
+type placementRun struct {
+	*eventLoop
 	rng     *rand.Rand
-	engines []*engineFake
+	engines []*simulatedEngine
 	slots   int
-	first   []float64
+	// firstTokens are the times to the first token, in seconds.
+	firstTokens []float64
+	// hits are the prefix cache hits among the started requests.
 	hits    int
-	asked   int
+	started int
 }
 
-// chooseReplica picks a replica for an entry's request with a prefix; ended is
-// called when it is answered.
-type chooseReplica func(n, prefix int) (replica int, ended func())
+// replicaChooser picks a replica for a request with a prefix at entry n; onEnd is
+// called when the answer has ended.
+type replicaChooser func(n, prefix int) (replica int, onEnd func())
 
-func runPlacing(seed uint64, make func(pl *placing) chooseReplica) *placing {
-	pl := &placing{loop: newLoop(), rng: rand.New(rand.NewPCG(seed, 4)), slots: 8}
+// runPlacement simulates placementLength with eight entries and ten replicas.
+func runPlacement(seed uint64, newChooser func(pr *placementRun) replicaChooser) *placementRun {
+	pr := &placementRun{eventLoop: newEventLoop(), rng: rand.New(rand.NewPCG(seed, 4)), slots: 8}
 	for range 10 {
-		pl.engines = append(pl.engines, &engineFake{})
+		pr.engines = append(pr.engines, &simulatedEngine{})
 	}
-	choose := make(pl)
-	rate := placementLoad * float64(len(pl.engines)*pl.slots) / service(placementTokens).Seconds()
+	choose := newChooser(pr)
+	rate := placementLoad * float64(len(pr.engines)*pr.slots) / serviceTime(placementTokens).Seconds()
 	var arrive func()
 	arrive = func() {
-		pl.after(time.Duration(pl.rng.ExpFloat64()/rate*float64(time.Second)), func() {
-			// A few prefixes are asked for more often than the rest.
-			prefix := int(float64(prefixes) * math.Pow(pl.rng.Float64(), 2))
-			replica, ended := choose(pl.rng.IntN(8), prefix)
-			pl.place(replica, prefix, ended)
+		pr.after(time.Duration(pr.rng.ExpFloat64()/rate*float64(time.Second)), func() {
+			// A few prefixes are requested more often than the rest.
+			prefix := int(float64(prefixCount) * math.Pow(pr.rng.Float64(), 2))
+			replica, onEnd := choose(pr.rng.IntN(8), prefix)
+			pr.send(replica, prefix, onEnd)
 			arrive()
 		})
 	}
 	arrive()
-	pl.run(placementLength)
-	return pl
+	pr.run(placementLength)
+	return pr
 }
 
-func (pl *placing) place(replica, prefix int, ended func()) {
-	en, arrived := pl.engines[replica], pl.now
-	tokens := math.Min(4*placementTokens, pl.rng.ExpFloat64()*placementTokens)
+// send sends a request to a replica, where it starts in a free slot or waits.
+func (pr *placementRun) send(replica, prefix int, onEnd func()) {
+	en, arrived := pr.engines[replica], pr.now
+	tokens := math.Min(4*placementTokens, pr.rng.ExpFloat64()*placementTokens)
 	start := func() {
 		first := prefill
-		pl.asked++
-		if en.hit(prefix) {
-			pl.hits++
+		pr.started++
+		if en.lookupPrefix(prefix) {
+			pr.hits++
 			first /= 2
 		}
-		pl.first = append(pl.first, pl.now.Sub(arrived).Seconds()+first.Seconds())
+		pr.firstTokens = append(pr.firstTokens, pr.now.Sub(arrived).Seconds()+first.Seconds())
 		en.running++
-		en.note(pl.now)
-		pl.after(first+time.Duration(tokens*float64(perToken)), func() {
+		en.recordLoad(pr.now)
+		pr.after(first+time.Duration(tokens*float64(perToken)), func() {
 			en.running--
 			if len(en.waiting) > 0 {
 				next := en.waiting[0]
 				en.waiting = en.waiting[1:]
 				next()
 			}
-			en.note(pl.now)
-			ended()
+			en.recordLoad(pr.now)
+			onEnd()
 		})
 	}
-	if en.running < pl.slots {
+	if en.running < pr.slots {
 		start()
 		return
 	}
 	en.waiting = append(en.waiting, start)
-	en.note(pl.now)
+	en.recordLoad(pr.now)
 }
 
-func nothing() {}
+// noop is the onEnd of choosers that keep no state.
+func noop() {}
 
-func roundRobin(pl *placing) chooseReplica {
+func roundRobin(pr *placementRun) replicaChooser {
 	next := 0
 	return func(int, int) (int, func()) {
 		next++
-		return next % len(pl.engines), nothing
+		return next % len(pr.engines), noop
 	}
 }
 
-func leastLoadedFresh(pl *placing) chooseReplica {
+// leastLoadedFresh chooses by the true current load.
+func leastLoadedFresh(pr *placementRun) replicaChooser {
 	return func(int, int) (int, func()) {
 		best := 0
-		for i, en := range pl.engines {
-			if en.running+len(en.waiting) < pl.engines[best].running+len(pl.engines[best].waiting) {
+		for i, en := range pr.engines {
+			if en.running+len(en.waiting) < pr.engines[best].running+len(pr.engines[best].waiting) {
 				best = i
 			}
 		}
-		return best, nothing
+		return best, noop
 	}
 }
 
-func twoChoicesStale(pl *placing) chooseReplica {
+// twoChoicesStale chooses the less loaded of two random replicas by their reports.
+func twoChoicesStale(pr *placementRun) replicaChooser {
 	return func(int, int) (int, func()) {
-		a, b := pl.rng.IntN(len(pl.engines)), pl.rng.IntN(len(pl.engines))
-		if pl.engines[b].stale() < pl.engines[a].stale() {
+		a, b := pr.rng.IntN(len(pr.engines)), pr.rng.IntN(len(pr.engines))
+		if pr.engines[b].reportedLoad() < pr.engines[a].reportedLoad() {
 			a = b
 		}
-		return a, nothing
+		return a, noop
 	}
 }
 
-// gradedHealth chooses by the health that LitmusPaper's nodes would report:
-// 100 less their load, at least 1, as the weight of a random choice.
-func gradedHealth(pl *placing) chooseReplica {
+// gradedHealth chooses at random, weighted by the health that LitmusPaper's nodes
+// would report: 100 minus their load in percent, at least 1.
+func gradedHealth(pr *placementRun) replicaChooser {
 	return func(int, int) (int, func()) {
 		total := 0
-		for _, en := range pl.engines {
-			total += en.health(pl.slots)
+		for _, en := range pr.engines {
+			total += en.health(pr.slots)
 		}
-		at := pl.rng.IntN(total)
-		for i, en := range pl.engines {
-			if at -= en.health(pl.slots); at < 0 {
-				return i, nothing
+		at := pr.rng.IntN(total)
+		for i, en := range pr.engines {
+			if at -= en.health(pr.slots); at < 0 {
+				return i, noop
 			}
 		}
-		return 0, nothing
+		return 0, noop
 	}
 }
 
-func (en *engineFake) health(slots int) int {
-	return max(1, 100-100*en.stale()/slots)
+func (en *simulatedEngine) health(slots int) int {
+	return max(1, 100-100*en.reportedLoad()/slots)
 }
 
-func (en *engineFake) stale() int {
-	if len(en.history) == 0 {
+// reportedLoad returns the number of requests running or waiting reportLag ago.
+func (en *simulatedEngine) reportedLoad() int {
+	if len(en.loadSamples) == 0 {
 		return 0
 	}
-	return en.history[0].running
+	return en.loadSamples[0].running
 }
 
-func perfectAffinity(pl *placing) chooseReplica {
-	return func(_, prefix int) (int, func()) { return prefix % len(pl.engines), nothing }
+// perfectAffinity sends all requests with a prefix to the same replica.
+func perfectAffinity(pr *placementRun) replicaChooser {
+	return func(_, prefix int) (int, func()) { return prefix % len(pr.engines), noop }
 }
 
-// ourPlacement is the tracker that serves, one for each entry.
-func ourPlacement(pl *placing) chooseReplica {
+// productionPlacement chooses by the tracker that the entries use in production,
+// one per entry.
+func productionPlacement(pr *placementRun) replicaChooser {
 	var ens []policy.Endpoint
-	for i := range pl.engines {
-		en := &rpc.Endpoint{Slots: int64(pl.slots)}
+	for i := range pr.engines {
+		en := &rpc.Endpoint{Slots: int64(pr.slots)}
 		ens = append(ens, policy.Endpoint{ID: policy.EndpointID(fmt.Sprint("replica-", i)), Endpoint: en})
 	}
 	pool := placement.NewPool(ens)
@@ -207,21 +225,21 @@
 		trackers = append(trackers, placement.NewTracker(uint64(n+1)))
 	}
 	usable := func(policy.Endpoint) bool { return true }
-	told := snapshot(trackers)
-	pl.every(tellInterval, func() {
-		tell(pl.now, trackers, told)
-		told = snapshot(trackers)
+	reports := snapshot(trackers)
+	pr.every(inFlightInterval, func() {
+		shareInFlight(pr.now, trackers, reports)
+		reports = snapshot(trackers)
 	})
 	return func(n, prefix int) (int, func()) {
 		hash := placement.HashPrefix("o", "v", fmt.Append(nil, prefix))
-		en, _ := trackers[n].Choose(pl.now, pool, hash, nil, usable)
+		en, _ := trackers[n].Choose(pr.now, pool, hash, nil, usable)
 		i := slices.IndexFunc(ens, func(other policy.Endpoint) bool { return other.ID == en.ID })
-		trackers[n].Report(pl.now, en, float64(pl.engines[i].stale())/float64(pl.slots))
-		return i, func() { trackers[n].Done(pl.now, en.ID, placement.Succeeded) }
+		trackers[n].Report(pr.now, en, float64(pr.engines[i].reportedLoad())/float64(pr.slots))
+		return i, func() { trackers[n].Done(pr.now, en.ID, placement.Succeeded) }
 	}
 }
 
-// snapshot gives what each entry has in flight.
+// snapshot returns the requests in flight of each entry, by endpoint.
 func snapshot(trs []*placement.Tracker) []map[policy.EndpointID]int {
 	all := make([]map[policy.EndpointID]int, len(trs))
 	for n, tr := range trs {
@@ -230,8 +248,8 @@
 	return all
 }
 
-// tell lets each entry hear what the others had in flight.
-func tell(now time.Time, trs []*placement.Tracker, all []map[policy.EndpointID]int) {
+// shareInFlight tells each tracker the sum of what the others had in flight.
+func shareInFlight(now time.Time, trs []*placement.Tracker, all []map[policy.EndpointID]int) {
 	for n, tr := range trs {
 		others := map[policy.EndpointID]int{}
 		for m, inFlight := range all {
@@ -246,24 +264,25 @@
 	}
 }
 
-// Placement measures latency with stale reports, and cache hits.
+// Placement measures the time to the first token and the prefix cache hits when
+// load reports are stale.
 func Placement(seed uint64) Row {
-	figure := func(make func(pl *placing) chooseReplica) (p95, hits float64) {
-		pl := runPlacing(seed, make)
-		return quantile(pl.first, 0.95), float64(pl.hits) / float64(pl.asked)
+	figure := func(newChooser func(pr *placementRun) replicaChooser) (p95, hits float64) {
+		pr := runPlacement(seed, newChooser)
+		return quantile(pr.firstTokens, 0.95), float64(pr.hits) / float64(pr.started)
 	}
 	rr, rrHits := figure(roundRobin)
 	ll, llHits := figure(leastLoadedFresh)
 	tc, tcHits := figure(twoChoicesStale)
 	pa, paHits := figure(perfectAffinity)
 	gh, ghHits := figure(gradedHealth)
-	mine, hits := figure(ourPlacement)
+	production, hits := figure(productionPlacement)
 	return Row{
 		Measure: "placement with reports 2 s stale: p95 first token, cache hits",
 		Baselines: fmt.Sprintf("round robin %.0f ms, %.2f; least loaded, fresh %.0f ms, %.2f; two choices, stale %.0f ms, %.2f; graded health (LitmusPaper), stale %.0f ms, %.2f; perfect affinity %.0f ms, %.2f",
 			1000*rr, rrHits, 1000*ll, llHits, 1000*tc, tcHits, 1000*gh, ghHits, 1000*pa, paHits),
-		Figure: fmt.Sprintf("%.0f ms, %.2f", 1000*mine, hits),
+		Figure: fmt.Sprintf("%.0f ms, %.2f", 1000*production, hits),
 		Target: "p95 no worse than least loaded with fresh reports; hits >= 0.9 of perfect affinity",
-		Met:    mine <= ll && hits >= 0.9*paHits,
+		Met:    production <= ll && hits >= 0.9*paHits,
 	}
 }
--- a/measure/report.go
+++ b/measure/report.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Row is one measure's result.
+// Row is the result of one measurement; Met reports whether Figure meets Target.
 type Row struct {
 	Measure   string
 	Baselines string
@@ -14,18 +14,19 @@
 	Met       bool
 }
 
-// All runs every measure but Placement from a seed.
+// All runs every measurement but Placement, and returns their results. The same seed
+// gives the same results.
 func All(seed uint64) []Row {
 	var out []Row
 	for _, st := range []site{bagmati, savannah} {
 		out = append(out, measureFlood(st, seed), measureFloors(st, seed), measureUseful(st, seed), measureFairness(st, seed), measureCombined(st, seed))
 	}
-	out = append(out, measureCascade(seed), measureDrift(seed), measureDisappearance(seed), measureSilence(seed))
+	out = append(out, measureCascade(seed), measureDrift(seed), measureModelRemoval(seed), measureStoppedRatings(seed))
 	out = append(out, measureExposure(seed)...)
 	return append(out, measureRetries(seed), measureAddresses(seed))
 }
 
-// Table gives the rows as a markdown table.
+// Table returns the rows as a Markdown table.
 func Table(ros []Row) string {
 	var sb strings.Builder
 	sb.WriteString("| measure | baselines | figure | target | |\n|---|---|---|---|---|\n")
--- a/measure/scheduler.go
+++ b/measure/scheduler.go
@@ -8,53 +8,63 @@
 	"tanagerpoint.example/tanager/policy"
 )
 
-// job is one request of a measurement.
+// job is one request of a simulation.
 type job struct {
-	org    policy.OrganisationID
-	share  float64
-	rank   policy.RankID
-	order  int64
+	org   policy.OrganisationID
+	share float64
+	rank  policy.RankID
+	// order is that of the rank: 0 is the most urgent.
+	order int64
+	// tokens is the length of the answer.
 	tokens float64
-	// expected is the mean length of the rank's answers.
-	expected float64
-	arrived  time.Time
-	deadline time.Time
-	ticket   admission.Ticket
-	entry    int
-	replica  *replica
-	// firstToken and ended are zero while they have not come.
+	// expectedTokens is the mean length of the stream's answers, which the scheduler
+	// goes by.
+	expectedTokens float64
+	arrived        time.Time
+	deadline       time.Time
+	ticket         admission.Ticket
+	entry          int
+	replica        *replica
+	// firstToken and ended are the times when the caller gets the first token and the
+	// end of the answer; zero before the start and the end.
 	firstToken time.Time
 	ended      time.Time
 	refused    bool
 	sent       int
 }
 
+// inTime reports whether the answer ended by the deadline.
 func (jo *job) inTime() bool { return !jo.ended.IsZero() && !jo.ended.After(jo.deadline) }
 
 // scheduler is one entry's queue.
 type scheduler interface {
+	// offer adds a job to the queue, or refuses it.
 	offer(now time.Time, jo *job)
+	// next returns the jobs that start now.
 	next(now time.Time) []*job
+	// done ends a job that was started.
 	done(now time.Time, jo *job)
+	// setCapacity sets the number of slots that the queue may use.
 	setCapacity(now time.Time, slots float64)
+	// demand returns the number of jobs running or waiting.
 	demand() float64
 }
 
-// ours is the queue that serves.
-type ours struct {
+// productionQueue is the queue that the entries use in production.
+type productionQueue struct {
 	queue *admission.Queue
 	jobs  map[*admission.Ticket]*job
 	// refused is called for each request that is refused.
 	refused func(jo *job)
 }
 
-func newOurs(now time.Time, dither float64, refused func(jo *job)) *ours {
+func newProductionQueue(now time.Time, dither float64, refused func(jo *job)) *productionQueue {
 	qu := admission.NewQueue(now, 1024, dither)
 	qu.SetRanks(ranks())
-	return &ours{queue: qu, jobs: map[*admission.Ticket]*job{}, refused: refused}
+	return &productionQueue{queue: qu, jobs: map[*admission.Ticket]*job{}, refused: refused}
 }
 
-// ranks are those of the examples.
+// ranks returns the ranks of the example policy.
 func ranks() []admission.Rank {
 	return []admission.Rank{
 		{ID: "urgent", Order: 0, Floor: 0.2},
@@ -63,59 +73,62 @@
 	}
 }
 
-func (ou *ours) offer(now time.Time, jo *job) {
+func (pq *productionQueue) offer(now time.Time, jo *job) {
 	jo.ticket = admission.Ticket{
-		Organisation: jo.org, Share: jo.share, Rank: jo.rank, Cost: admission.Cost(jo.expected),
-		LatestStart: admission.LatestStart(jo.arrived, jo.deadline, service(jo.expected)),
+		Organisation: jo.org, Share: jo.share, Rank: jo.rank, Cost: admission.Cost(jo.expectedTokens),
+		LatestStart: admission.LatestStart(jo.arrived, jo.deadline, serviceTime(jo.expectedTokens)),
 	}
-	ou.jobs[&jo.ticket] = jo
-	ou.refuse(ou.queue.Offer(now, &jo.ticket))
+	pq.jobs[&jo.ticket] = jo
+	pq.refuse(pq.queue.Offer(now, &jo.ticket))
 }
 
-func (ou *ours) refuse(res []*admission.Refusal) {
+// refuse marks the jobs of refused tickets.
+func (pq *productionQueue) refuse(res []*admission.Refusal) {
 	for _, re := range res {
-		jo := ou.jobs[re.Ticket]
-		delete(ou.jobs, re.Ticket)
+		jo := pq.jobs[re.Ticket]
+		delete(pq.jobs, re.Ticket)
 		jo.refused = true
-		ou.refused(jo)
+		pq.refused(jo)
 	}
 }
 
-func (ou *ours) next(now time.Time) []*job {
-	ou.refuse(ou.queue.Expire(now))
-	started, refused := ou.queue.Next(now)
-	ou.refuse(refused)
+func (pq *productionQueue) next(now time.Time) []*job {
+	pq.refuse(pq.queue.Expire(now))
+	started, refused := pq.queue.Next(now)
+	pq.refuse(refused)
 	out := make([]*job, len(started))
 	for i, ti := range started {
-		out[i] = ou.jobs[ti]
+		out[i] = pq.jobs[ti]
 	}
 	return out
 }
 
-func (ou *ours) done(now time.Time, jo *job) {
-	delete(ou.jobs, &jo.ticket)
-	ou.queue.Done(now, &jo.ticket, admission.Cost(jo.tokens))
+func (pq *productionQueue) done(now time.Time, jo *job) {
+	delete(pq.jobs, &jo.ticket)
+	pq.queue.Done(now, &jo.ticket, admission.Cost(jo.tokens))
 }
 
-func (ou *ours) setCapacity(now time.Time, slots float64) {
-	ou.queue.SetCapacity(now, admission.Slots(slots))
+func (pq *productionQueue) setCapacity(now time.Time, slots float64) {
+	pq.queue.SetCapacity(now, admission.Slots(slots))
 }
 
-func (ou *ours) demand() float64 {
-	running, waiting := ou.queue.Load()
+func (pq *productionQueue) demand() float64 {
+	running, waiting := pq.queue.Load()
 	return float64(running + waiting)
 }
 
-// simple is a baseline: one list, ordered by less, with a longest length.
-type simple struct {
-	less     func(a, b *job) bool
-	limit    int
-	perOrg   float64
-	capacity float64
-	running  int
-	byOrg    map[policy.OrganisationID]int
-	waiting  []*job
-	refused  func(jo *job)
+// baselineQueue is a baseline: a list of waiting jobs in the order of less.
+type baselineQueue struct {
+	less func(a, b *job) bool
+	// maxWaiting bounds the waiting jobs, maxOrgShare the part of the capacity that
+	// one organisation may use; 0 sets no limit.
+	maxWaiting   int
+	maxOrgShare  float64
+	capacity     float64
+	running      int
+	runningByOrg map[policy.OrganisationID]int
+	waiting      []*job
+	refused      func(jo *job)
 }
 
 func byArrival(a, b *job) bool { return a.arrived.Before(b.arrived) }
@@ -127,42 +140,42 @@
 	return byArrival(a, b)
 }
 
-func (si *simple) offer(_ time.Time, jo *job) {
-	if si.limit > 0 && len(si.waiting) >= si.limit {
+func (bq *baselineQueue) offer(_ time.Time, jo *job) {
+	if bq.maxWaiting > 0 && len(bq.waiting) >= bq.maxWaiting {
 		jo.refused = true
-		si.refused(jo)
+		bq.refused(jo)
 		return
 	}
-	i, _ := slices.BinarySearchFunc(si.waiting, jo, func(a, b *job) int {
-		if si.less(b, a) {
+	i, _ := slices.BinarySearchFunc(bq.waiting, jo, func(a, b *job) int {
+		if bq.less(b, a) {
 			return 1
 		}
 		return -1
 	})
-	si.waiting = slices.Insert(si.waiting, i, jo)
+	bq.waiting = slices.Insert(bq.waiting, i, jo)
 }
 
-func (si *simple) next(time.Time) []*job {
+func (bq *baselineQueue) next(time.Time) []*job {
 	var out []*job
-	for i := 0; i < len(si.waiting) && float64(si.running) < si.capacity; {
-		jo := si.waiting[i]
-		if si.perOrg > 0 && float64(si.byOrg[jo.org]) >= si.perOrg*si.capacity {
+	for i := 0; i < len(bq.waiting) && float64(bq.running) < bq.capacity; {
+		jo := bq.waiting[i]
+		if bq.maxOrgShare > 0 && float64(bq.runningByOrg[jo.org]) >= bq.maxOrgShare*bq.capacity {
 			i++
 			continue
 		}
-		si.waiting = slices.Delete(si.waiting, i, i+1)
-		si.running++
-		si.byOrg[jo.org]++
+		bq.waiting = slices.Delete(bq.waiting, i, i+1)
+		bq.running++
+		bq.runningByOrg[jo.org]++
 		out = append(out, jo)
 	}
 	return out
 }
 
-func (si *simple) done(_ time.Time, jo *job) {
-	si.running--
-	si.byOrg[jo.org]--
+func (bq *baselineQueue) done(_ time.Time, jo *job) {
+	bq.running--
+	bq.runningByOrg[jo.org]--
 }
 
-func (si *simple) setCapacity(_ time.Time, slots float64) { si.capacity = slots }
+func (bq *baselineQueue) setCapacity(_ time.Time, slots float64) { bq.capacity = slots }
 
-func (si *simple) demand() float64 { return float64(si.running + len(si.waiting)) }
+func (bq *baselineQueue) demand() float64 { return float64(bq.running + len(bq.waiting)) }
