--- a/bill/hold.go
+++ b/bill/hold.go
@@ -35,7 +35,7 @@
 			return
 		}
 		bo.drop(key, len(hb.bills))
-		bo.log.Info(event.BillsAdopted, event.Fields{"owner": key.incarnation, "batch": key.number, "bills": len(hb.bills)})
+		bo.log.Info(event.PeerBillsSealed, event.Fields{"owner": key.incarnation, "batch": key.number, "bills": len(hb.bills)})
 	}
 }
 
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -194,10 +194,10 @@
 func (da *Daemon) releaseEndpoint(id policy.EndpointID, re placement.Result) {
 	suspended, resumed := da.tracker.Done(time.Now(), id, re)
 	if suspended {
-		da.log.Warn(event.EndpointOpened, nil, event.Fields{"endpoint": id})
+		da.log.Warn(event.EndpointSuspended, nil, event.Fields{"endpoint": id})
 	}
 	if resumed {
-		da.log.Info(event.EndpointClosed, event.Fields{"endpoint": id})
+		da.log.Info(event.EndpointResumed, event.Fields{"endpoint": id})
 	}
 }
 
--- a/event/event.go
+++ b/event/event.go
@@ -20,13 +20,13 @@
 	Started              Number = 100
 	Draining             Number = 101
 	Stopped              Number = 102
-	DrainCut             Number = 103
+	DrainTimedOut        Number = 103
 	ListenerFailed       Number = 104
 	RequestPanicked      Number = 105
 	SettingsReloaded     Number = 106
 	SettingsUnusable     Number = 107
 	SettingsKept         Number = 108
-	LinesLeftOut         Number = 109
+	LinesSuppressed      Number = 109
 	PolicyApplied        Number = 200
 	PolicyRecordUnusable Number = 201
 	PolicyFromPeer       Number = 202
@@ -42,8 +42,8 @@
 	VMListUnreachable    Number = 303
 	PeerRefused          Number = 304
 	AttemptFailed        Number = 400
-	EndpointOpened       Number = 401
-	EndpointClosed       Number = 402
+	EndpointSuspended    Number = 401
+	EndpointResumed      Number = 402
 	AnswerDropped        Number = 403
 	StreamResumed        Number = 404
 	VersionSuspect       Number = 405
@@ -54,11 +54,11 @@
 	EndpointLapsed       Number = 410
 	RequestSent          Number = 411
 	RequestAnswered      Number = 412
-	ModelRaised          Number = 413
+	CascadeEscalated     Number = 413
 	ClaimUnresolved      Number = 500
 	ClaimReleased        Number = 501
 	BillsSealed          Number = 502
-	BillsAdopted         Number = 503
+	PeerBillsSealed      Number = 503
 	BillsNotCopied       Number = 504
 	BillsUnsealed        Number = 505
 	LeaseTaken           Number = 600
@@ -76,13 +76,13 @@
 	Started:              "daemon started",
 	Draining:             "graceful shutdown began",
 	Stopped:              "daemon stopped",
-	DrainCut:             "graceful shutdown ended before its last answers",
+	DrainTimedOut:        "graceful shutdown ended before its last answers",
 	ListenerFailed:       "listener failed",
 	RequestPanicked:      "request ended by a defect of the program",
 	SettingsReloaded:     "settings read again and in force",
 	SettingsUnusable:     "settings file has findings; the settings in force are kept",
 	SettingsKept:         "settings file read again; this daemon takes changes at its next start",
-	LinesLeftOut:         "log lines left out",
+	LinesSuppressed:      "log lines left out",
 	PolicyApplied:        "policy revision in force",
 	PolicyRecordUnusable: "policy record cannot be used and counts as absent",
 	PolicyFromPeer:       "policy fetched from a peer",
@@ -98,8 +98,8 @@
 	VMListUnreachable:    "VM list unreachable; the last one is kept",
 	PeerRefused:          "call on the peers' listener without the shared key",
 	AttemptFailed:        "attempt at an endpoint failed",
-	EndpointOpened:       "endpoint gets no work after failures",
-	EndpointClosed:       "endpoint gets work again",
+	EndpointSuspended:    "endpoint gets no work after failures",
+	EndpointResumed:      "endpoint gets work again",
 	AnswerDropped:        "answer of another request dropped",
 	StreamResumed:        "stream resumed on a new connection",
 	VersionSuspect:       "candidate version stopped on this site's own evidence",
@@ -110,11 +110,11 @@
 	EndpointLapsed:       "endpoint vanished while the store was unsteady; kept for the grace",
 	RequestSent:          "request sent to an endpoint",
 	RequestAnswered:      "request answered",
-	ModelRaised:          "answer of a small model given up for one of the largest",
+	CascadeEscalated:     "answer of a small model given up for one of the largest",
 	ClaimUnresolved:      "claim's answer was lost and is not yet resolved",
 	ClaimReleased:        "claim released: the call was not run",
 	BillsSealed:          "batch of bills sealed",
-	BillsAdopted:         "failed peer's bills sealed for it",
+	PeerBillsSealed:      "failed peer's bills sealed for it",
 	BillsNotCopied:       "bill has fewer copies than set",
 	BillsUnsealed:        "bills could not be sealed",
 	LeaseTaken:           "task's lease taken",
@@ -187,14 +187,14 @@
 // Debug writes an event that is too frequent for the ordinary log.
 func (lo *Log) Debug(nu Number, err error, fi Fields) { lo.write(logrus.DebugLevel, nu, err, fi) }
 
-// Trouble writes an event of a request that went wrong. Its lines are bounded.
-func (lo *Log) Trouble(nu Number, err error, fi Fields) {
+// WarnLimited writes an event of a request that went wrong. Its lines are bounded.
+func (lo *Log) WarnLimited(nu Number, err error, fi Fields) {
 	lo.bounded(logrus.WarnLevel, nu, err, fi, troubleLines)
 }
 
-// Request writes an event of a request in the ordinary course of things. Its
+// InfoLimited writes an event of a request in the ordinary course of things. Its
 // lines are bounded.
-func (lo *Log) Request(nu Number, fi Fields) {
+func (lo *Log) InfoLimited(nu Number, fi Fields) {
 	lo.bounded(logrus.InfoLevel, nu, nil, fi, plainLines)
 }
 
@@ -204,7 +204,7 @@
 	}
 	ok, leftOut := lo.budget.take(time.Now(), nu, most)
 	for of, n := range leftOut {
-		lo.write(logrus.InfoLevel, LinesLeftOut, nil, Fields{"of_event": int(of), "left_out": n})
+		lo.write(logrus.InfoLevel, LinesSuppressed, nil, Fields{"of_event": int(of), "left_out": n})
 	}
 	if ok {
 		lo.write(le, nu, err, fi)
--- a/event/event_test.go
+++ b/event/event_test.go
@@ -43,11 +43,11 @@
 		var sb strings.Builder
 		lo := event.NewLog(&sb, nil, "vm-1")
 		for range 1000 {
-			lo.Request(event.RequestAnswered, nil)
-			lo.Trouble(event.RequestFailed, nil, nil)
+			lo.InfoLimited(event.RequestAnswered, nil)
+			lo.WarnLimited(event.RequestFailed, nil, nil)
 		}
 		time.Sleep(2 * time.Second)
-		lo.Request(event.RequestAnswered, nil)
+		lo.InfoLimited(event.RequestAnswered, nil)
 		text := sb.String()
 		qt.Assert(t, strings.Count(text, " event=412 "), qt.Equals, 13)
 		qt.Assert(t, strings.Count(text, " event=408 "), qt.Equals, 40)
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -128,7 +128,7 @@
 		Deadline: ca.deadline, After: after, Urgency: ca.urgency,
 	}, time.Now())
 	ca.sends++
-	ro.log.Request(event.RequestSent, event.Fields{
+	ro.log.InfoLimited(event.RequestSent, event.Fields{
 		"request": rq.ID, "route": ca.route.ID, "endpoint": at.endpoint.ID, "release": at.endpoint.Release, "model": ca.modelID(),
 		"send": ca.sends, "estimate_ms": at.expected().Milliseconds(), "pressure_ms": int64(float64(ca.pressure) * 1000),
 		"policy": ro.holder.Set().Revision,
@@ -264,10 +264,10 @@
 	ro := at.router
 	suspended, resumed := ro.balancer.Done(time.Now(), at.placed, re)
 	if suspended {
-		ro.log.Warn(event.EndpointOpened, nil, event.Fields{"endpoint": at.endpoint.ID, "service": at.endpoint.Service})
+		ro.log.Warn(event.EndpointSuspended, nil, event.Fields{"endpoint": at.endpoint.ID, "service": at.endpoint.Service})
 	}
 	if resumed {
-		ro.log.Info(event.EndpointClosed, event.Fields{"endpoint": at.endpoint.ID, "service": at.endpoint.Service})
+		ro.log.Info(event.EndpointResumed, event.Fields{"endpoint": at.endpoint.ID, "service": at.endpoint.Service})
 	}
 }
 
@@ -289,7 +289,7 @@
 		ro.releases.observe(at.call.service.ID, at.endpoint, rollout.Outcome{Failed: !overdue, Overdue: overdue})
 	}
 	ro.metrics.Attempts.Add(ctx, 1, metric.With(metric.KeyOutcome, "failed", metric.KeyCause, causeOf(fa.err)))
-	ro.log.Trouble(event.AttemptFailed, fa.err, event.Fields{
+	ro.log.WarnLimited(event.AttemptFailed, fa.err, event.Fields{
 		"request": at.call.request.ID, "endpoint": at.endpoint.ID, "release": at.endpoint.Release, "not_run": fa.notRun,
 		"after_ms": time.Since(at.sentAt).Milliseconds(), "policy": ro.holder.Set().Revision,
 	})
--- a/relay/router.go
+++ b/relay/router.go
@@ -157,7 +157,7 @@
 func (ro *Router) refuse(wr http.ResponseWriter, rq *Request, re *Refusal) {
 	now := time.Now()
 	ro.metrics.Requests.Add(context.Background(), 1, metric.With(metric.KeyOutcome, string(re.Reason)))
-	ro.log.Trouble(event.RequestRefused, nil, event.Fields{
+	ro.log.WarnLimited(event.RequestRefused, nil, event.Fields{
 		"request": rq.ID, "reason": re.Reason, "status": re.Status, "after_ms": now.Sub(rq.Arrived).Milliseconds(),
 		"policy": ro.holder.Set().Revision,
 	})
--- a/relay/run.go
+++ b/relay/run.go
@@ -58,7 +58,7 @@
 	if !step.Escalate() || !ro.budgets.take(time.Now(), ca.service.ID, escalationShare) {
 		return false
 	}
-	ro.log.Request(event.ModelRaised, event.Fields{
+	ro.log.InfoLimited(event.CascadeEscalated, event.Fields{
 		"request": ca.request.ID, "from": ca.modelID(), "confidence": an.head.Confidence,
 		"pressure_ms": int64(float64(ca.pressure) * 1000), "left_ms": left.Milliseconds(),
 	})
@@ -74,7 +74,7 @@
 		return false
 	}
 	if !ro.budgets.take(time.Now(), ca.service.ID, wholeBudget) {
-		ro.log.Trouble(event.RetryBudgetSpent, nil, event.Fields{"request": ca.request.ID})
+		ro.log.WarnLimited(event.RetryBudgetSpent, nil, event.Fields{"request": ca.request.ID})
 		return false
 	}
 	ro.metrics.Retries.Add(ctx, 1)
@@ -84,7 +84,7 @@
 // final gives the last answer to a request that found no good one.
 func (ro *Router) final(ctx context.Context, wr http.ResponseWriter, ca *call, last *failure) *Refusal {
 	now := time.Now()
-	ro.log.Trouble(event.RequestFailed, last.err, event.Fields{
+	ro.log.WarnLimited(event.RequestFailed, last.err, event.Fields{
 		"request": ca.request.ID, "route": ca.route.ID, "sends": ca.sends, "may_have_run": ca.mayHaveRun,
 		"after_ms": now.Sub(ca.request.Arrived).Milliseconds(),
 	})
@@ -128,7 +128,7 @@
 		pause = longest
 	}
 	ro.metrics.Requests.Add(ctx, 1, metric.With(metric.KeyOutcome, outcome))
-	ro.log.Request(event.RequestAnswered, event.Fields{
+	ro.log.InfoLimited(event.RequestAnswered, event.Fields{
 		"request": ca.request.ID, "route": ca.route.ID, "status": an.status, "outcome": outcome, "model": ca.modelID(), "sends": ca.sends,
 		"first_ms": took.Milliseconds(), "pause_ms": pause, "whole_ms": time.Since(ca.request.Arrived).Milliseconds(),
 	})
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -162,7 +162,7 @@
 	for worker.Sleep(ctx, resumePause) && ca.route.Resumable && ro.mayRepeat(ctx, ca, &failure{err: cause}) {
 		next, fa := ro.attempt(ctx, ca, st.last)
 		if fa == nil && next.stream != nil {
-			ro.log.Request(event.StreamResumed, event.Fields{"request": ca.request.ID, "from": an.endpoint.ID, "to": next.endpoint.ID, "after_event": st.last, "cause": cause.Error()})
+			ro.log.InfoLimited(event.StreamResumed, event.Fields{"request": ca.request.ID, "from": an.endpoint.ID, "to": next.endpoint.ID, "after_event": st.last, "cause": cause.Error()})
 			return next
 		}
 		if fa == nil {
@@ -173,6 +173,6 @@
 			return nil
 		}
 	}
-	ro.log.Trouble(event.StreamCut, cause, event.Fields{"request": ca.request.ID, "endpoint": an.endpoint.ID, "after_event": st.last, "sends": ca.sends})
+	ro.log.WarnLimited(event.StreamCut, cause, event.Fields{"request": ca.request.ID, "endpoint": an.endpoint.ID, "after_event": st.last, "sends": ca.sends})
 	return nil
 }
--- a/router/router.go
+++ b/router/router.go
@@ -211,7 +211,7 @@
 	da.leases.Close(ctx)
 	worker.Sleep(ctx, listenAfterDrain)
 	if err := da.callers.Shutdown(ctx); err != nil {
-		da.log.Warn(event.DrainCut, err, event.Fields{"in_flight": da.relay.InFlight()})
+		da.log.Warn(event.DrainTimedOut, err, event.Fields{"in_flight": da.relay.InFlight()})
 	}
 }
 
