--- a/steward/orders.go
+++ b/steward/orders.go
@@ -18,58 +18,65 @@
 )
 
 const (
-	// inspectInterval is the time between looks at what an engine has loaded.
+	// inspectInterval is the time between two requests for an engine's loaded
+	// models.
 	inspectInterval = 5 * time.Second
-	// lookLimit bounds one look, since other tasks wait for it: engines that do
-	// not answer must not keep a roll-out from being aborted.
-	lookLimit = time.Second
-	// maxInspections bounds the engines looked at in one interval.
+	// ordersRunTimeout bounds one run of an orders task. All tasks of a steward
+	// share one goroutine, so engines that do not answer must not delay the abort
+	// of a roll-out.
+	ordersRunTimeout = time.Second
+	// maxInspections is the maximum number of engines inspected in one run.
 	maxInspections = 32
 )
 
 // ordersTask orders the engines of one failure domain to load the versions
-// that their records name, and to unload those that are withdrawn. It compares
-// what an engine has with what it should have, so an order that was lost, or
-// carried out late for an earlier holder, is mended at the next look.
+// listed in their endpoint records and to unload those that are withdrawn. It
+// compares the models that an engine has loaded with the ones that it should
+// have, so the next inspection corrects an order that was lost, or that was sent
+// by an earlier lease holder and carried out late.
 type ordersTask struct {
 	daemon *Daemon
 	domain policy.FailureDomain
-	lookAt map[policy.EndpointID]time.Time
+	// inspectAt is the earliest time of an engine's next inspection.
+	inspectAt map[policy.EndpointID]time.Time
 }
 
 func newOrdersTask(da *Daemon, fd policy.FailureDomain) *ordersTask {
-	return &ordersTask{daemon: da, domain: fd, lookAt: map[policy.EndpointID]time.Time{}}
+	return &ordersTask{daemon: da, domain: fd, inspectAt: map[policy.EndpointID]time.Time{}}
 }
 
-// look implements task.
-func (ot *ordersTask) look(ctx context.Context, ho lease.Hold) bool {
+// run implements task. The task is done when its failure domain has no engines.
+func (ot *ordersTask) run(ctx context.Context, ho lease.Hold) bool {
 	se := ot.daemon.holder.Set()
-	ctx, cancel := context.WithTimeout(ctx, lookLimit)
+	ctx, cancel := context.WithTimeout(ctx, ordersRunTimeout)
 	defer cancel()
-	left, any := maxInspections, false
+	left, hasEngines := maxInspections, false
 	for _, en := range se.Endpoints.List() {
 		if policy.FailureDomain(en.FailureDomain) != ot.domain || en.Kind != rpc.EndpointKind_ENGINE {
 			continue
 		}
-		any = true
-		if left == 0 || time.Now().Before(ot.lookAt[en.ID]) || !ot.mayOrder(en, ho) {
+		hasEngines = true
+		if left == 0 || time.Now().Before(ot.inspectAt[en.ID]) || !ot.mayOrder(en, ho) {
 			continue
 		}
 		left--
-		ot.lookAt[en.ID] = time.Now().Add(inspectInterval)
+		ot.inspectAt[en.ID] = time.Now().Add(inspectInterval)
 		ot.inspect(ctx, ho, se, en)
 	}
-	return !any
+	return !hasEngines
 }
 
-// mayOrder keeps a new holder from ordering an engine that does not check
-// fencing tokens until the one before must have seen its own lease end: the
-// store ended it, and a further time to live has passed.
+// mayOrder reports whether the holder may send orders to an engine. An engine that
+// does not check fencing tokens could still carry out orders of the previous
+// holder. A new holder therefore sends it nothing until one lease TTL after taking
+// the lease, when the previous holder must have noticed that its own has expired.
 func (ot *ordersTask) mayOrder(en policy.Endpoint, ho lease.Hold) bool {
-	ttl := ot.daemon.set.GetSteward().GetLease().AsDuration()
+	ttl := ot.daemon.settings.GetSteward().GetLease().AsDuration()
 	return en.ChecksFencing || time.Since(ho.Since) >= ttl
 }
 
+// inspect requests the models that an engine has loaded and sends orders for the
+// versions that differ from their records.
 func (ot *ordersTask) inspect(ctx context.Context, ho lease.Hold, se *policy.Set, en policy.Endpoint) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
@@ -82,15 +89,15 @@
 		if !ok || ve.Weights == "" || ve.Live() == slices.Contains(loaded, ve.EngineModel) {
 			continue
 		}
-		if ve.Live() && !ot.daemon.weights.take(ctx, ve.Weights) {
+		if ve.Live() && !ot.daemon.loads.allow(ctx, ve.Weights) {
 			continue
 		}
-		ot.order(ctx, ho, en, endpoint.Order{URL: en.Url, Model: ve.EngineModel, Weights: ve.Weights, Load: ve.Live(), FencingToken: int64(ho.Token)})
+		ot.sendOrder(ctx, ho, en, endpoint.Order{URL: en.Url, Model: ve.EngineModel, Weights: ve.Weights, Load: ve.Live(), FencingToken: int64(ho.Token)})
 	}
 }
 
-// order sends one order, while the lease is sure to be held.
-func (ot *ordersTask) order(ctx context.Context, ho lease.Hold, en policy.Endpoint, or endpoint.Order) {
+// sendOrder sends one order, unless the task's lease may have expired.
+func (ot *ordersTask) sendOrder(ctx context.Context, ho lease.Hold, en policy.Endpoint, or endpoint.Order) {
 	da := ot.daemon
 	if _, ok := da.leases.Holds(ho.Task); !ok {
 		return
@@ -110,35 +117,38 @@
 	}
 }
 
-// weights paces loads by the weight store's rate.
-type weights struct {
-	url    string
-	client *http.Client
-	every  time.Duration
-	freeAt time.Time
+// loadLimiter limits the loads that this steward orders to the rate at which the
+// weight store serves weights. It is used by one goroutine.
+type loadLimiter struct {
+	url      string
+	client   *http.Client
+	interval time.Duration
+	nextAt   time.Time
 }
 
-func newWeights(url string, perMinute float64, ne network.Network) *weights {
-	return &weights{url: strings.TrimSuffix(url, "/"), client: ne.Client(1), every: time.Duration(float64(time.Minute) / perMinute)}
+func newLoadLimiter(url string, perMinute float64, ne network.Network) *loadLimiter {
+	return &loadLimiter{url: strings.TrimSuffix(url, "/"), client: ne.Client(1), interval: time.Duration(float64(time.Minute) / perMinute)}
 }
 
-func (we *weights) close() { we.client.CloseIdleConnections() }
+func (ll *loadLimiter) close() { ll.client.CloseIdleConnections() }
 
-// take tells whether a load may be ordered now: the site's pace allows it, and
-// the weight store is ready to serve the weights.
-func (we *weights) take(ctx context.Context, key string) bool {
-	if time.Now().Before(we.freeAt) {
+// allow reports whether a load of the weights may be ordered now: the interval
+// since the last load has passed, and the weight store is ready to serve them. A
+// store that is not ready uses up the interval too. Without a weight store only
+// the interval counts.
+func (ll *loadLimiter) allow(ctx context.Context, key string) bool {
+	if time.Now().Before(ll.nextAt) {
 		return false
 	}
-	we.freeAt = time.Now().Add(we.every)
-	if we.url == "" {
+	ll.nextAt = time.Now().Add(ll.interval)
+	if ll.url == "" {
 		return true
 	}
-	rq, err := http.NewRequestWithContext(ctx, http.MethodHead, we.url+"/weights/"+key, nil)
+	rq, err := http.NewRequestWithContext(ctx, http.MethodHead, ll.url+"/weights/"+key, nil)
 	if err != nil {
 		return false
 	}
-	rs, err := we.client.Do(rq)
+	rs, err := ll.client.Do(rq)
 	if err != nil {
 		return false
 	}
--- a/steward/ratings.go
+++ b/steward/ratings.go
@@ -16,11 +16,13 @@
 	"tanagerpoint.example/tanager/store"
 )
 
-// checkpointInterval is the time between writes of the sums to the store.
+// checkpointInterval is the minimum time between two writes of the sums to the
+// store.
 const checkpointInterval = 15 * time.Second
 
-// ratingsTask gathers ratings and tells the entries of their sums. The sums
-// are kept in the store, for the next holder.
+// ratingsTask reads new ratings from the rating service and publishes their sums
+// to the entries. It also writes the sums to the store, from which the next lease
+// holder continues.
 type ratingsTask struct {
 	daemon    *Daemon
 	sums      checkpoint
@@ -29,13 +31,16 @@
 	choosers  map[string]*cascade.Chooser
 }
 
-// checkpoint is what the store keeps.
+// checkpoint is the task's state in the store, encoded as JSON. Sequence is that
+// of the last rating read.
 type checkpoint struct {
-	Sequence int64     `json:"sequence"`
-	Sums     []sumItem `json:"sums"`
+	Sequence int64       `json:"sequence"`
+	Sums     []ratingSum `json:"sums"`
 }
 
-type sumItem struct {
+// ratingSum is a cascade's estimate of the quality of a version for one kind of
+// work: the mean of its ratings, and the weight of that mean.
+type ratingSum struct {
 	Cascade string  `json:"cascade"`
 	Work    string  `json:"work"`
 	Version string  `json:"version"`
@@ -49,9 +54,9 @@
 
 func (rt *ratingsTask) key() store.Key { return rt.daemon.keys.Root + "ratings" }
 
-// look implements task.
-func (rt *ratingsTask) look(ctx context.Context, ho lease.Hold) bool {
-	if !rt.loaded && !rt.load(ctx) {
+// run implements task. The task is never done.
+func (rt *ratingsTask) run(ctx context.Context, ho lease.Hold) bool {
+	if !rt.loaded && !rt.loadCheckpoint(ctx) {
 		return false
 	}
 	ras, err := rt.daemon.ratings.After(ctx, rt.sums.Sequence)
@@ -63,18 +68,19 @@
 		rt.sums.Sequence = max(rt.sums.Sequence, ra.Sequence)
 		rt.daemon.metrics.Quality.Record(ctx, ra.Quality, metric.With(metric.KeyVersion, ra.Version))
 		if _, ok := rt.daemon.holder.Set().Cascades.ByID(policy.CascadeID(ra.Cascade)); ok {
-			rt.add(ra.Cascade, ra.Work, ra.Version, ra.Quality)
+			rt.addRating(ra.Cascade, ra.Work, ra.Version, ra.Quality)
 		}
 	}
 	rt.publish(ho)
 	if len(ras) > 0 && time.Since(rt.writtenAt) > checkpointInterval {
-		rt.write(ctx, ho)
+		rt.writeCheckpoint(ctx, ho)
 	}
 	return false
 }
 
-// add takes in a rating, with the chooser's own arithmetic.
-func (rt *ratingsTask) add(name, work, version string, quality float64) {
+// addRating adds a rating to its sum. The arithmetic is that of
+// cascade.Chooser, because entries set their estimates to the sums.
+func (rt *ratingsTask) addRating(name, work, version string, quality float64) {
 	ch, ok := rt.choosers[name]
 	if !ok {
 		ch = cascade.NewChooser(0)
@@ -85,18 +91,20 @@
 	su.Weight, su.Mean = ch.Estimate(cascade.Work(work), policy.VersionID(version))
 }
 
-func (rt *ratingsTask) sum(name, work, version string) *sumItem {
+// sum returns the sum of a cascade, kind of work and version, and adds it if there
+// is none. The pointer is valid until the next call.
+func (rt *ratingsTask) sum(name, work, version string) *ratingSum {
 	for i := range rt.sums.Sums {
 		su := &rt.sums.Sums[i]
 		if su.Cascade == name && su.Work == work && su.Version == version {
 			return su
 		}
 	}
-	rt.sums.Sums = append(rt.sums.Sums, sumItem{Cascade: name, Work: work, Version: version})
+	rt.sums.Sums = append(rt.sums.Sums, ratingSum{Cascade: name, Work: work, Version: version})
 	return &rt.sums.Sums[len(rt.sums.Sums)-1]
 }
 
-// publish tells the entries of the sums, a cascade an item.
+// publish sends the sums to the entries, as one item per cascade.
 func (rt *ratingsTask) publish(ho lease.Hold) {
 	byCascade := map[string]*rpc.Ratings{}
 	for _, su := range rt.sums.Sums {
@@ -113,7 +121,9 @@
 	}
 }
 
-func (rt *ratingsTask) load(ctx context.Context) bool {
+// loadCheckpoint reads the sums from the store and reports whether the store was
+// reached. A missing or unreadable checkpoint counts as an empty one.
+func (rt *ratingsTask) loadCheckpoint(ctx context.Context) bool {
 	pa, err := rt.daemon.store.Get(ctx, rt.key())
 	if err != nil {
 		return false
@@ -133,8 +143,8 @@
 	return true
 }
 
-// write keeps the sums in the store, while the lease is held.
-func (rt *ratingsTask) write(ctx context.Context, ho lease.Hold) {
+// writeCheckpoint writes the sums to the store, if the task's lease is still held.
+func (rt *ratingsTask) writeCheckpoint(ctx context.Context, ho lease.Hold) {
 	value, err := json.Marshal(rt.sums)
 	if err != nil {
 		return
--- a/steward/rollout.go
+++ b/steward/rollout.go
@@ -17,64 +17,70 @@
 	"tanagerpoint.example/tanager/rpc"
 )
 
-// ratedPerStep is the least number of rated answers of the candidate at a
-// step, where there is a rating service.
-const ratedPerStep = 20
+// minRatedPerStep is the number of ratings of the candidate that a step needs if
+// there is a rating service; a step that needs fewer answers needs only as many
+// ratings.
+const minRatedPerStep = 20
 
-// rolloutTask moves one roll-out.
+// rolloutTask advances one roll-out from step to step, or aborts it.
 type rolloutTask struct {
-	daemon *Daemon
-	id     policy.RolloutID
-	judge  *rollout.Quality
-	// sequence is the last rating read.
+	daemon  *Daemon
+	id      policy.RolloutID
+	quality *rollout.Quality
+	// sequence is that of the last rating read.
 	sequence int64
-	// counts are the candidate's answers by entry, as last heard.
-	counts map[string]int64
-	// answers and rated count the candidate's since the step began.
+	// answersByItem holds the last answer count of the candidate that each entry
+	// published, by the key of its item.
+	answersByItem map[string]int64
+	// answers and rated count the candidate's answers and ratings since the
+	// current step began.
 	answers int64
 	rated   int64
-	step    float64
+	// share is the share of new sessions in the current step, -1 before the first run.
+	share float64
 }
 
 func newRolloutTask(da *Daemon, id policy.RolloutID) *rolloutTask {
-	return &rolloutTask{daemon: da, id: id, counts: map[string]int64{}, step: -1}
+	return &rolloutTask{daemon: da, id: id, answersByItem: map[string]int64{}, share: -1}
 }
 
-// look implements task.
-func (rt *rolloutTask) look(ctx context.Context, ho lease.Hold) bool {
+// run implements task. The task is done when the roll-out is no longer active.
+func (rt *rolloutTask) run(ctx context.Context, ho lease.Hold) bool {
 	se := rt.daemon.holder.Set()
 	ro, ok := se.Rollouts.ByID(rt.id)
 	if !ok || !ro.Active() {
 		return true
 	}
-	if rt.step != ro.Share {
-		rt.step, rt.answers, rt.rated = ro.Share, 0, 0
+	if rt.share != ro.Share {
+		rt.share, rt.answers, rt.rated = ro.Share, 0, 0
 	}
 	reason := rt.readHealth(ro)
-	if worse := rt.readRatings(ctx, se, ro); worse != "" {
-		reason = worse
+	if lowQuality := rt.readRatings(ctx, se, ro); lowQuality != "" {
+		reason = lowQuality
 	}
 	switch {
 	case reason != "":
 		rt.abort(ctx, ho, se, ro, reason)
 	case ro.State == rpc.RolloutState_PAUSED:
 	case ro.Share == 0:
-		rt.move(ctx, ho, se, ro)
-	case rt.enough(ro):
-		rt.move(ctx, ho, se, ro)
+		rt.advance(ctx, ho, se, ro)
+	case rt.stepComplete(ro):
+		rt.advance(ctx, ho, se, ro)
 	}
 	return false
 }
 
-func (rt *rolloutTask) enough(ro policy.Rollout) bool {
+// stepComplete reports whether the candidate has enough answers and ratings at the
+// current step.
+func (rt *rolloutTask) stepComplete(ro policy.Rollout) bool {
 	if rt.answers < ro.AnswersPerStep {
 		return false
 	}
-	return rt.daemon.ratings == nil || rt.rated >= min(ratedPerStep, ro.AnswersPerStep)
+	return rt.daemon.ratings == nil || rt.rated >= min(minRatedPerStep, ro.AnswersPerStep)
 }
 
-// readHealth adds up what the entries saw, and gives why one of them found the
-// candidate bad.
+// readHealth adds the new answers that the entries report for the candidate. It
+// returns the reason if an entry suspects the candidate, and "" otherwise.
 func (rt *rolloutTask) readHealth(ro policy.Rollout) string {
 	reason := ""
 	for _, it := range rt.daemon.peers.Board().Under(entry.HealthPrefix + string(rt.id) + "/") {
@@ -82,11 +88,11 @@
 		if proto.Unmarshal(it.Value, &he) != nil || he.GetVersion() != ro.ToVersion {
 			continue
 		}
-		before, known := rt.counts[it.Key]
+		before, known := rt.answersByItem[it.Key]
 		if known && he.GetAnswers() > before {
 			rt.answers += he.GetAnswers() - before
 		}
-		rt.counts[it.Key] = he.GetAnswers()
+		rt.answersByItem[it.Key] = he.GetAnswers()
 		if he.GetSuspect() {
 			reason = he.GetReason()
 		}
@@ -94,14 +100,15 @@
 	return reason
 }
 
-// readRatings takes in new ratings, and gives why they show the candidate bad.
+// readRatings reads the new ratings from the rating service. It returns a reason if
+// they show that the candidate is worse than the stable version, and "" otherwise.
 func (rt *rolloutTask) readRatings(ctx context.Context, se *policy.Set, ro policy.Rollout) string {
 	if rt.daemon.ratings == nil {
 		return ""
 	}
-	if rt.judge == nil {
+	if rt.quality == nil {
 		ve, _ := se.Versions.ByID(policy.VersionID(ro.FromVersion))
-		rt.judge = rollout.NewQuality(ve.Quality, ro.QualityMargin)
+		rt.quality = rollout.NewQuality(ve.Quality, ro.QualityMargin)
 	}
 	ras, err := rt.daemon.ratings.After(ctx, rt.sequence)
 	if err != nil {
@@ -112,52 +119,54 @@
 		rt.sequence = max(rt.sequence, ra.Sequence)
 		switch ra.Version {
 		case ro.FromVersion:
-			rt.judge.Stable(ra.Quality)
+			rt.quality.Stable(ra.Quality)
 		case ro.ToVersion:
-			rt.judge.Candidate(ra.Quality)
+			rt.quality.Candidate(ra.Quality)
 			rt.rated++
 		}
 	}
-	if rt.judge.Rejects() {
+	if rt.quality.Rejects() {
 		return "rated below the version in use"
 	}
 	return ""
 }
 
-// move gives the candidate its next share; after the last one it becomes the
-// stable version and the roll-out is done.
-func (rt *rolloutTask) move(ctx context.Context, ho lease.Hold, se *policy.Set, ro policy.Rollout) {
+// advance sets the candidate's next share. After the last one it makes the
+// candidate the stable version and completes the roll-out.
+func (rt *rolloutTask) advance(ctx context.Context, ho lease.Hold, se *policy.Set, ro policy.Rollout) {
 	share, more := rollout.NextShare(ro)
 	if more {
-		rt.change(ctx, ho, se, event.RolloutMoved, field{policy.KindRollout, string(ro.ID), "spec.share", share})
+		rt.apply(ctx, ho, se, event.RolloutMoved, fieldChange{policy.KindRollout, string(ro.ID), "spec.share", share})
 		return
 	}
-	rt.change(ctx, ho, se, event.RolloutMoved,
-		field{policy.KindRollout, string(ro.ID), "spec.state", rpc.RolloutState_DONE.String()},
-		field{policy.KindModel, ro.Model, "spec.stable_version", ro.ToVersion})
+	rt.apply(ctx, ho, se, event.RolloutMoved,
+		fieldChange{policy.KindRollout, string(ro.ID), "spec.state", rpc.RolloutState_DONE.String()},
+		fieldChange{policy.KindModel, ro.Model, "spec.stable_version", ro.ToVersion})
 }
 
-// abort ends the roll-out and withdraws the candidate, in one change.
+// abort aborts the roll-out and withdraws the candidate in one commit.
 func (rt *rolloutTask) abort(ctx context.Context, ho lease.Hold, se *policy.Set, ro policy.Rollout, reason string) {
-	rt.change(ctx, ho, se, event.RolloutAborted,
-		field{policy.KindRollout, string(ro.ID), "spec.state", rpc.RolloutState_ABORTED.String()},
-		field{policy.KindRollout, string(ro.ID), "spec.reason", reason},
-		field{policy.KindVersion, ro.ToVersion, "spec.state", rpc.VersionState_WITHDRAWN.String()})
+	rt.apply(ctx, ho, se, event.RolloutAborted,
+		fieldChange{policy.KindRollout, string(ro.ID), "spec.state", rpc.RolloutState_ABORTED.String()},
+		fieldChange{policy.KindRollout, string(ro.ID), "spec.reason", reason},
+		fieldChange{policy.KindVersion, ro.ToVersion, "spec.state", rpc.VersionState_WITHDRAWN.String()})
 }
 
-// field is one field of one record to set.
-type field struct {
+// fieldChange is a new value for one field of a record. path is the field's path in
+// the record's JSON.
+type fieldChange struct {
 	kind  policy.Kind
 	id    string
 	path  string
 	value any
 }
 
-// change sets fields of records under the task's fencing token. A conflict
-// with an operator is left alone: the next look sees the operator's record.
-func (rt *rolloutTask) change(ctx context.Context, ho lease.Hold, se *policy.Set, nu event.Number, fis ...field) {
+// apply commits changes of fields, provided that the store still has the task's
+// fencing token, and logs nu. A conflict with an operator's change is neither
+// logged nor retried: the next run reads the operator's record.
+func (rt *rolloutTask) apply(ctx context.Context, ho lease.Hold, se *policy.Set, nu event.Number, fis ...fieldChange) {
 	da := rt.daemon
-	changes, err := edit(se, fis)
+	changes, err := recordChanges(se, fis)
 	if err != nil {
 		da.log.Warn(event.ChangeFenced, err, event.Fields{"task": ho.Task})
 		return
@@ -178,8 +187,9 @@
 	}
 }
 
-// edit gives the changes that set fields, one for each record.
-func edit(se *policy.Set, fis []field) ([]configuration.Change, error) {
+// recordChanges returns the changes of records that set the fields, one for each
+// record.
+func recordChanges(se *policy.Set, fis []fieldChange) ([]configuration.Change, error) {
 	var out []configuration.Change
 	byKey := map[string]int{}
 	for _, fi := range fis {
--- a/steward/steward.go
+++ b/steward/steward.go
@@ -1,7 +1,7 @@
-// Package steward does the control work: it moves roll-outs, gathers ratings,
-// orders engines to load versions, and trims the store. The work is divided
-// into tasks, each held by one steward under a lease with a fencing token.
-// Entries serve without any steward.
+// Package steward is the control plane of a site: it advances roll-outs, collects
+// ratings, orders engines to load versions, and deletes old history from the store.
+// This work is divided into tasks. Each is run by one steward at a time, which holds
+// a lease with a fencing token. Entries serve requests without any steward.
 package steward
 
 import (
@@ -31,17 +31,17 @@
 const (
 	readHeaderTimeout = 5 * time.Second
 	orderTimeout      = 2 * time.Second
-	// candidates is how many stewards try for a free task.
-	candidates = 2
+	// preferredStewards is the number of stewards that try to acquire a free task.
+	preferredStewards = 2
 )
 
-// Daemon is one steward.
+// Daemon is a steward process.
 type Daemon struct {
-	set     *rpc.StewardSettings
-	net     network.Network
-	log     *event.Log
-	metrics *metric.Metrics
-	group   *worker.Group
+	settings *rpc.StewardSettings
+	net      network.Network
+	log      *event.Log
+	metrics  *metric.Metrics
+	group    *worker.Group
 
 	store   *store.Client
 	keys    configuration.Keys
@@ -53,18 +53,18 @@
 	leases  *lease.Manager
 	client  *endpoint.Client
 	ratings *rating.Service
-	weights *weights
-	work    *tasks
+	loads   *loadLimiter
+	tasks   *taskRunner
 	servers []*http.Server
 }
 
-// New gives a daemon; Start makes it work.
+// New returns a daemon that is not running yet; Start starts it.
 func New(ss *rpc.StewardSettings, ne network.Network, lo *event.Log) (*Daemon, error) {
 	me, err := metric.New()
 	if err != nil {
 		return nil, eris.Wrap(err, "steward.New")
 	}
-	da := &Daemon{set: ss, net: ne, log: lo, metrics: me, group: worker.NewGroup()}
+	da := &Daemon{settings: ss, net: ne, log: lo, metrics: me, group: worker.NewGroup()}
 	da.store = store.NewClient(store.OptionsOf(ss.GetStore(), ne.Dial))
 	da.keys = configuration.Keys{Root: store.Key(ss.GetStore().GetPrefix())}
 	da.holder = configuration.NewHolder(lo)
@@ -77,20 +77,21 @@
 	if ur := ss.GetPlatform().GetRatingUrl(); ur != "" {
 		da.ratings = rating.NewService(ur, ne)
 	}
-	da.weights = newWeights(ss.GetPlatform().GetWeightsUrl(), ss.GetSteward().GetLoadsPerMinute(), ne)
-	da.work = newTasks(da)
+	da.loads = newLoadLimiter(ss.GetPlatform().GetWeightsUrl(), ss.GetSteward().GetLoadsPerMinute(), ne)
+	da.tasks = newTaskRunner(da)
 	return da, nil
 }
 
 func (da *Daemon) peerOptions() peer.Options {
-	opt := peer.OptionsOf(da.set, peer.RoleSteward)
+	opt := peer.OptionsOf(da.settings, peer.RoleSteward)
 	opt.Listed = da.vms.EntryAddresses
 	return opt
 }
 
-// Start opens the listeners and starts the work.
+// Start opens the listeners for peers and operators and starts the daemon's
+// goroutines.
 func (da *Daemon) Start() error {
-	ls := da.set.GetListen()
+	ls := da.settings.GetListen()
 	peers := peer.NewServer(da.peers, nil, nil)
 	if err := da.serve(ls.GetPeers(), peers.Handler()); err != nil {
 		return eris.Wrap(err, "Daemon.Start")
@@ -101,8 +102,8 @@
 	da.group.Go(da.watcher.Run)
 	da.group.Go(da.vms.Run)
 	da.group.Go(da.peers.Run)
-	da.group.Every(da.set.GetSteward().GetLease().AsDuration()/3, da.leases.Renew)
-	da.group.Every(da.set.GetSteward().GetInterval().AsDuration(), da.work.look)
+	da.group.Every(da.settings.GetSteward().GetLease().AsDuration()/3, da.leases.Renew)
+	da.group.Every(da.settings.GetSteward().GetInterval().AsDuration(), da.tasks.run)
 	da.log.Info(event.Started, event.Fields{"incarnation": da.peers.Incarnation()})
 	return nil
 }
@@ -115,14 +116,15 @@
 	})
 }
 
-// Drain gives up the tasks, so that other stewards take them at once.
+// Drain stops the tasks and releases their leases, so that other stewards can
+// acquire them at once.
 func (da *Daemon) Drain(ctx context.Context) {
 	da.log.Info(event.Draining, nil)
-	da.work.stop()
+	da.tasks.stop()
 	da.leases.Close(ctx)
 }
 
-// Close ends the daemon and waits for its work.
+// Close stops the daemon and blocks until its goroutines have returned.
 func (da *Daemon) Close(ctx context.Context) {
 	for _, sv := range da.servers {
 		_ = sv.Close()
@@ -132,7 +134,7 @@
 	if da.ratings != nil {
 		da.ratings.Close()
 	}
-	da.weights.close()
+	da.loads.close()
 	da.client.Close()
 	da.peers.Close()
 	da.vms.Close()
@@ -141,7 +143,7 @@
 	da.log.Info(event.Stopped, nil)
 }
 
-// State is the steward's dump.
+// State is the state that Dump returns. It is encoded as JSON.
 type State struct {
 	VM             vm.ID            `json:"vm"`
 	Incarnation    peer.Incarnation `json:"incarnation"`
@@ -151,7 +153,7 @@
 	Tasks          []lease.Hold     `json:"tasks"`
 }
 
-// Dump gives the steward's state.
+// Dump returns the steward's State.
 func (da *Daemon) Dump() any {
 	return State{
 		VM: da.peers.VM(), Incarnation: da.peers.Incarnation(), PolicyRevision: da.holder.Set().Revision,
@@ -159,12 +161,13 @@
 	}
 }
 
-// preferred tells whether this steward is among the first to try for a task.
+// preferred reports whether this steward is one of those that try to acquire a
+// task.
 func (da *Daemon) preferred(ta lease.Task) bool {
-	return da.peers.Preferred(string(ta), candidates)
+	return da.peers.Preferred(string(ta), preferredStewards)
 }
 
-// failureDomains lists the failure domains that have endpoints.
+// failureDomains returns the failure domains that have endpoints, sorted.
 func failureDomains(se *policy.Set) []policy.FailureDomain {
 	var out []policy.FailureDomain
 	for _, en := range se.Endpoints.List() {
--- a/steward/task.go
+++ b/steward/task.go
@@ -13,7 +13,8 @@
 	"tanagerpoint.example/tanager/rpc"
 )
 
-// Tasks by name. Those of roll-outs and orders carry an id behind the slash.
+// The names of tasks. In the names of roll-out and orders tasks, the id of the
+// roll-out or the failure domain follows the prefix.
 const (
 	taskRatings       lease.Task = "ratings"
 	taskTrim          lease.Task = "trim"
@@ -21,63 +22,70 @@
 	taskOrdersPrefix             = "orders/"
 )
 
-// taskPrefix is the prefix of the items by which holders tell of their tasks.
+// taskPrefix is the prefix of the items that lease holders publish to their peers,
+// one per task.
 const taskPrefix = "task/"
 
-// task is one piece of work. It is looked at by one goroutine at a time, and
-// only while its lease is held.
+// task is a unit of control work. One goroutine at a time runs it, and only while
+// the task's lease is held.
 type task interface {
-	// look does what is due now, and tells whether the task is done for good.
-	look(ctx context.Context, ho lease.Hold) (done bool)
+	// run does the work that is due now and reports whether the task is done, after
+	// which its lease is released.
+	run(ctx context.Context, ho lease.Hold) (done bool)
 }
 
-// tasks holds this steward's tasks. It is used by one goroutine.
-type tasks struct {
+// taskRunner acquires tasks and runs those that this steward holds. All its methods
+// but stop are called by one goroutine.
+type taskRunner struct {
 	daemon  *Daemon
 	held    map[lease.Task]task
 	stopped atomic.Bool
-	// lookAgain is when a task that another steward holds is tried again.
-	lookAgain map[lease.Task]time.Time
+	// retryAt is the time of the next attempt to acquire a task that could not be
+	// acquired.
+	retryAt map[lease.Task]time.Time
 }
 
-func newTasks(da *Daemon) *tasks {
-	return &tasks{daemon: da, held: map[lease.Task]task{}, lookAgain: map[lease.Task]time.Time{}}
+func newTaskRunner(da *Daemon) *taskRunner {
+	return &taskRunner{daemon: da, held: map[lease.Task]task{}, retryAt: map[lease.Task]time.Time{}}
 }
 
-func (ts *tasks) stop() { ts.stopped.Store(true) }
+// stop makes further calls of run do nothing. It is safe to call concurrently with run.
+func (tr *taskRunner) stop() { tr.stopped.Store(true) }
 
-// look takes free tasks and goes through those held.
-func (ts *tasks) look(ctx context.Context) {
-	if ts.stopped.Load() {
+// run acquires free tasks and runs each held one. It drops tasks whose lease has
+// been lost.
+func (tr *taskRunner) run(ctx context.Context) {
+	if tr.stopped.Load() {
 		return
 	}
-	for _, ta := range ts.due() {
-		ts.acquire(ctx, ta)
+	for _, ta := range tr.wanted() {
+		tr.acquire(ctx, ta)
 	}
-	for ta, work := range ts.held {
-		ho, ok := ts.daemon.leases.Holds(ta)
+	for ta, work := range tr.held {
+		ho, ok := tr.daemon.leases.Holds(ta)
 		if !ok {
-			delete(ts.held, ta)
+			delete(tr.held, ta)
 			continue
 		}
-		ts.daemon.peers.PublishAs(taskPrefix+string(ta), peer.Version{Fence: int64(ho.Token), Sequence: time.Now().UnixNano()}, &rpc.Member{Vm: string(ts.daemon.peers.VM())})
-		if work.look(ctx, ho) {
-			delete(ts.held, ta)
-			if err := ts.daemon.leases.Release(ctx, ta); err != nil {
-				ts.daemon.log.Debug(event.StoreUnreachable, err, nil)
+		tr.daemon.peers.PublishAs(taskPrefix+string(ta), peer.Version{Fence: int64(ho.Token), Sequence: time.Now().UnixNano()}, &rpc.Member{Vm: string(tr.daemon.peers.VM())})
+		if work.run(ctx, ho) {
+			delete(tr.held, ta)
+			if err := tr.daemon.leases.Release(ctx, ta); err != nil {
+				tr.daemon.log.Debug(event.StoreUnreachable, err, nil)
 			}
 		}
 	}
 }
 
-// due lists the tasks that the policy asks for.
-func (ts *tasks) due() []lease.Task {
-	se := ts.daemon.holder.Set()
+// wanted returns the tasks that the current policy requires, and none before the
+// first policy has arrived.
+func (tr *taskRunner) wanted() []lease.Task {
+	se := tr.daemon.holder.Set()
 	if se.Revision == 0 {
 		return nil
 	}
 	out := []lease.Task{taskTrim}
-	if ts.daemon.ratings != nil {
+	if tr.daemon.ratings != nil {
 		out = append(out, taskRatings)
 	}
 	for _, ro := range se.Rollouts.List() {
@@ -91,37 +99,39 @@
 	return out
 }
 
-// acquire tries for a task, unless its holder was heard of lately.
-func (ts *tasks) acquire(ctx context.Context, ta lease.Task) {
-	if _, ok := ts.held[ta]; ok || time.Now().Before(ts.lookAgain[ta]) || !ts.daemon.preferred(ta) {
+// acquire tries to take the lease of a task. It does not try if its holder was
+// heard of within the last lease TTL.
+func (tr *taskRunner) acquire(ctx context.Context, ta lease.Task) {
+	if _, ok := tr.held[ta]; ok || time.Now().Before(tr.retryAt[ta]) || !tr.daemon.preferred(ta) {
 		return
 	}
-	ttl := ts.daemon.set.GetSteward().GetLease().AsDuration()
-	if it, ok := ts.daemon.peers.Board().Get(taskPrefix + string(ta)); ok && time.Since(it.WrittenAt) < ttl {
+	ttl := tr.daemon.settings.GetSteward().GetLease().AsDuration()
+	if it, ok := tr.daemon.peers.Board().Get(taskPrefix + string(ta)); ok && time.Since(it.WrittenAt) < ttl {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, ttl)
 	defer cancel()
-	ok, err := ts.daemon.leases.Acquire(ctx, ta)
+	ok, err := tr.daemon.leases.Acquire(ctx, ta)
 	if err != nil {
-		ts.daemon.log.Debug(event.StoreUnreachable, err, nil)
+		tr.daemon.log.Debug(event.StoreUnreachable, err, nil)
 	}
 	if !ok {
-		ts.lookAgain[ta] = time.Now().Add(ttl)
+		tr.retryAt[ta] = time.Now().Add(ttl)
 		return
 	}
-	ts.held[ta] = ts.make(ta)
+	tr.held[ta] = tr.newTask(ta)
 }
 
-func (ts *tasks) make(ta lease.Task) task {
+// newTask returns the task of a name.
+func (tr *taskRunner) newTask(ta lease.Task) task {
 	if id, ok := strings.CutPrefix(string(ta), taskRolloutPrefix); ok {
-		return newRolloutTask(ts.daemon, policy.RolloutID(id))
+		return newRolloutTask(tr.daemon, policy.RolloutID(id))
 	}
 	if fd, ok := strings.CutPrefix(string(ta), taskOrdersPrefix); ok {
-		return newOrdersTask(ts.daemon, policy.FailureDomain(fd))
+		return newOrdersTask(tr.daemon, policy.FailureDomain(fd))
 	}
 	if ta == taskRatings {
-		return newRatingsTask(ts.daemon)
+		return newRatingsTask(tr.daemon)
 	}
-	return newTrimTask(ts.daemon)
+	return newTrimTask(tr.daemon)
 }
--- a/steward/trim.go
+++ b/steward/trim.go
@@ -8,20 +8,23 @@
 	"tanagerpoint.example/tanager/lease"
 )
 
-// trimInterval is the time between two records trimmed. Each costs a read.
+// trimInterval is the time between trims of two records. Each trim costs a read of
+// the store.
 const trimInterval = 2 * time.Second
 
-// trimTask deletes the oldest states of records, one record after the other.
+// trimTask deletes the oldest states from the history of records, one record at a
+// time in the order of their keys.
 type trimTask struct {
 	daemon *Daemon
 	nextAt time.Time
-	last   string
+	// lastKey is the key of the record trimmed last, "" at the start of a pass.
+	lastKey string
 }
 
 func newTrimTask(da *Daemon) *trimTask { return &trimTask{daemon: da} }
 
-// look implements task.
-func (tt *trimTask) look(ctx context.Context, _ lease.Hold) bool {
+// run implements task. The task is never done.
+func (tt *trimTask) run(ctx context.Context, _ lease.Hold) bool {
 	if time.Now().Before(tt.nextAt) {
 		return false
 	}
@@ -29,12 +32,12 @@
 	records := tt.daemon.holder.Set().Records()
 	next := ""
 	for _, re := range records {
-		if re.Key() > tt.last {
+		if re.Key() > tt.lastKey {
 			next = re.Key()
 			break
 		}
 	}
-	tt.last = next
+	tt.lastKey = next
 	if next == "" {
 		return false
 	}
