--- a/admin/admin.go
+++ b/admin/admin.go
@@ -1,5 +1,6 @@
-// Package admin serves operators: state dumps, metrics, and what a daemon adds
-// of its own. Callers cannot reach its listener's routes.
+// Package admin provides the HTTP handler of a daemon's admin listener: health
+// check, metrics, state dump, and routes that the daemon adds. They are served only
+// on that listener, not on the one for callers.
 package admin
 
 import (
@@ -12,11 +13,12 @@
 	"tanagerpoint.example/tanager/metric"
 )
 
-// Dumper gives a daemon's state, to be written as JSON.
+// Dumper returns a daemon's state, which is encoded as JSON.
 type Dumper func() any
 
-// NewRouter gives the admin listener's routes. extra adds routes that need an
-// operator's key.
+// NewRouter returns the admin listener's handler. /metrics and /healthz need no key;
+// /v1/dump needs an operator's key, as do the routes that extra adds. extra may be
+// nil.
 func NewRouter(ho *configuration.Holder, me *metric.Metrics, dump Dumper, extra func(ro gin.IRoutes)) http.Handler {
 	en := gin.New()
 	en.Use(gin.Recovery())
@@ -30,6 +32,7 @@
 	return en
 }
 
+// requireOperator answers requests without a known operator's key with 401.
 func requireOperator(ho *configuration.Holder) gin.HandlerFunc {
 	return func(co *gin.Context) {
 		key, ok := strings.CutPrefix(co.GetHeader("Authorization"), "Bearer ")
@@ -42,7 +45,7 @@
 	}
 }
 
-// Problem is an error in an admin answer.
+// Problem is the JSON body of an error response.
 type Problem struct {
 	Error string `json:"error"`
 }
