--- a/setting/describe.go
+++ b/setting/describe.go
@@ -7,8 +7,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Describe gives an annotated INI file with every section and key of ms, its
-// help and its default. docs/SETTINGS.md is made of it.
+// Describe returns an INI file with every section and key of ms, each key with its
+// default and, as a comment, its help and bounds. docs/SETTINGS.md contains this
+// text for every daemon.
 func Describe(ms proto.Message) string {
 	var sb strings.Builder
 	fds := ms.ProtoReflect().Descriptor().Fields()
--- a/setting/setting.go
+++ b/setting/setting.go
@@ -1,5 +1,5 @@
-// Package setting reads the daemons' INI files into the messages of
-// schema/settings.proto. Sections, keys, defaults and bounds come from there.
+// Package setting loads the daemons' INI files into the messages of
+// schema/settings.proto, which defines the sections, keys, defaults and bounds.
 package setting
 
 import (
@@ -18,11 +18,13 @@
 	"tanagerpoint.example/tanager/rpc"
 )
 
-// minSharedKeyLength is in characters.
+// minSharedKeyLength is the minimum length of the peers' shared key, compared with
+// its length in bytes.
 const minSharedKeyLength = 16
 
-// Load reads a file into ms, a pointer to EntrySettings or StewardSettings.
-// The error is a finding.List with every mistake in the file.
+// Load reads a file into ms, a pointer to the settings message of a daemon, such as
+// EntrySettings, and sets the default of each key that the file leaves out. The
+// error is a finding.List with all mistakes in the file.
 func Load(file string, ms proto.Message) error {
 	var li finding.List
 	fl, err := ini.LoadSources(ini.LoadOptions{AllowShadows: true}, file)
@@ -31,26 +33,28 @@
 		return li
 	}
 	rd := reader{file: file, ini: fl, list: &li}
-	rd.unknownSections(ms.ProtoReflect().Descriptor())
+	rd.checkSections(ms.ProtoReflect().Descriptor())
 	fds := ms.ProtoReflect().Descriptor().Fields()
 	for i := range fds.Len() {
-		rd.section(ms.ProtoReflect(), fds.Get(i))
+		rd.readSection(ms.ProtoReflect(), fds.Get(i))
 	}
-	rd.clashes(ms)
+	rd.checkValues(ms)
 	return li.Err()
 }
 
+// reader reads one settings file and adds the mistakes in it to list.
 type reader struct {
 	file string
 	ini  *ini.File
 	list *finding.List
 }
 
-func (rd reader) unknownSections(md protoreflect.MessageDescriptor) {
+// checkSections finds sections that md does not have, and keys outside any section.
+func (rd reader) checkSections(md protoreflect.MessageDescriptor) {
 	for _, se := range rd.ini.Sections() {
 		if se.Name() == ini.DefaultSection {
 			for _, ke := range se.Keys() {
-				rd.list.Add(finding.Place{File: rd.file, Key: ke.Name()}, "key stands before any section")
+				rd.list.Add(finding.Place{File: rd.file, Key: ke.Name()}, "key is set before the first section")
 			}
 			continue
 		}
@@ -60,7 +64,9 @@
 	}
 }
 
-func (rd reader) section(ms protoreflect.Message, fd protoreflect.FieldDescriptor) {
+// readSection reads the section for field fd of ms. A section that the file does not
+// have gets the defaults of its keys.
+func (rd reader) readSection(ms protoreflect.Message, fd protoreflect.FieldDescriptor) {
 	name := string(fd.Name())
 	sub := ms.Mutable(fd).Message()
 	se, _ := rd.ini.GetSection(name)
@@ -73,25 +79,27 @@
 	}
 	fds := fd.Message().Fields()
 	for i := range fds.Len() {
-		rd.key(sub, se, name, fds.Get(i))
+		rd.readKey(sub, se, name, fds.Get(i))
 	}
 }
 
-func (rd reader) key(ms protoreflect.Message, se *ini.Section, section string, fd protoreflect.FieldDescriptor) {
+// readKey sets field fd of ms to the key's value in se, or to its default. se is nil
+// if the file does not have the section.
+func (rd reader) readKey(ms protoreflect.Message, se *ini.Section, section string, fd protoreflect.FieldDescriptor) {
 	pl := finding.Place{File: rd.file, Section: section, Key: string(fd.Name())}
 	ru := ruleOf(fd)
 	text := ru.GetDefault()
 	if se != nil && se.HasKey(pl.Key) {
 		ke := se.Key(pl.Key)
 		if len(ke.ValueWithShadows()) > 1 {
-			rd.list.Add(pl, "written more than once")
+			rd.list.Add(pl, "set more than once")
 			return
 		}
 		text = strings.TrimSpace(ke.String())
 	}
 	if text == "" {
 		if ru.GetRequired() {
-			rd.list.Add(pl, "missing: %s", ru.GetHelp())
+			rd.list.Add(pl, "required key is missing: %s", ru.GetHelp())
 		}
 		return
 	}
@@ -116,8 +124,8 @@
 	ms.Set(fd, va)
 }
 
-// parse gives the value and, for numbers and durations, the number that the
-// rule's bounds apply to.
+// parse returns the value of text, the number to which the rule's bounds apply (in
+// seconds for a duration, 0 for a string), and a message if text is malformed.
 func parse(fd protoreflect.FieldDescriptor, text string) (protoreflect.Value, float64, string) {
 	switch fd.Kind() {
 	case protoreflect.StringKind:
@@ -145,6 +153,7 @@
 	}
 }
 
+// ruleOf returns the rule of a key from schema/settings.proto, or an empty one.
 func ruleOf(fd protoreflect.FieldDescriptor) *rpc.Rule {
 	ru, ok := proto.GetExtension(fd.Options(), rpc.E_Rule).(*rpc.Rule)
 	if !ok {
@@ -153,60 +162,62 @@
 	return ru
 }
 
-// clashes finds values that are well formed but cannot stand, by themselves or
-// together. What is missing, or not well formed, has its finding already.
-func (rd reader) clashes(ms proto.Message) {
+// checkValues finds values that parse but are invalid, by themselves or in
+// combination with others. It skips empty values, since readKey has reported missing
+// and malformed ones.
+func (rd reader) checkValues(ms proto.Message) {
 	if se, ok := ms.(interface{ GetListen() *rpc.ListenSection }); ok {
-		rd.listeners(se.GetListen().ProtoReflect())
+		rd.checkListeners(se.GetListen().ProtoReflect())
 	}
 	if se, ok := ms.(interface {
 		GetListen() *rpc.RouterListenSection
 	}); ok {
-		rd.listeners(se.GetListen().ProtoReflect())
+		rd.checkListeners(se.GetListen().ProtoReflect())
 	}
 	if se, ok := ms.(interface{ GetStore() *rpc.StoreSection }); ok {
 		for _, ur := range se.GetStore().GetUrls() {
-			rd.url("store", "urls", ur)
+			rd.checkURL("store", "urls", ur)
 		}
 	}
 	if se, ok := ms.(interface{ GetPlatform() *rpc.PlatformSection }); ok {
-		rd.platform(se.GetPlatform())
+		rd.checkPlatform(se.GetPlatform())
 	}
 	if se, ok := ms.(interface{ GetPeers() *rpc.PeersSection }); ok {
-		rd.peers(se.GetPeers())
+		rd.checkPeers(se.GetPeers())
 	}
 	if se, ok := ms.(interface{ GetLog() *rpc.LogSection }); ok {
-		rd.log(se.GetLog())
+		rd.checkLog(se.GetLog())
 	}
 	es, ok := ms.(*rpc.EntrySettings)
 	if ok && es.GetServing().GetIsolatedAfter() != nil && es.GetServing().GetIsolatedAfter().AsDuration() <= es.GetPeers().GetFailedAfter().AsDuration() {
-		rd.add("serving", "isolated_after", "not longer than peers failed_after")
+		rd.add("serving", "isolated_after", "must be longer than failed_after in section peers")
 	}
 }
 
-func (rd reader) peers(ps *rpc.PeersSection) {
+func (rd reader) checkPeers(ps *rpc.PeersSection) {
 	if ke := ps.GetSharedKey(); ke != "" && len(ke) < minSharedKeyLength {
 		rd.add("peers", "shared_key", "shorter than %d characters", minSharedKeyLength)
 	}
 	if ps.GetFailedAfter() != nil && ps.GetFailedAfter().AsDuration() < 2*ps.GetInterval().AsDuration() {
-		rd.add("peers", "failed_after", "shorter than two exchange intervals")
+		rd.add("peers", "failed_after", "must be at least twice the exchange interval")
 	}
 }
 
-func (rd reader) log(ls *rpc.LogSection) {
+func (rd reader) checkLog(ls *rpc.LogSection) {
 	if fo := ls.GetFormat(); fo != "" && fo != "text" && fo != "json" {
-		rd.add("log", "format", "%q is neither text nor json", fo)
+		rd.add("log", "format", "%q is not a format: want text or json", fo)
 	}
 	switch ls.GetLevel() {
 	case "", "debug", "info", "warning", "error":
 	default:
-		rd.add("log", "level", "%q is none of debug, info, warning, error", ls.GetLevel())
+		rd.add("log", "level", "%q is not a level: want debug, info, warning or error", ls.GetLevel())
 	}
 }
 
-// listeners finds addresses that are not IP:port, or that two listeners share.
-// An address that callers are told to use may be that of a listener.
-func (rd reader) listeners(ls protoreflect.Message) {
+// checkListeners finds addresses that are not IP:port or that two listeners share.
+// callers_public is the address that callers are told to use. It may equal that of a
+// listener, so it is not checked.
+func (rd reader) checkListeners(ls protoreflect.Message) {
 	seen := map[string]string{}
 	fds := ls.Descriptor().Fields()
 	for i := range fds.Len() {
@@ -225,26 +236,28 @@
 	}
 }
 
-// publicAddressKey is the key of section listen that names no listener.
+// publicAddressKey is the only key of section listen that is not the address of a
+// listener.
 const publicAddressKey = "callers_public"
 
-func (rd reader) platform(pl *rpc.PlatformSection) {
+func (rd reader) checkPlatform(pl *rpc.PlatformSection) {
 	for _, ur := range [...]struct{ key, text string }{
 		{"vm_list_url", pl.GetVmListUrl()}, {"rating_url", pl.GetRatingUrl()}, {"weights_url", pl.GetWeightsUrl()},
 	} {
 		if ur.text != "" {
-			rd.url("platform", ur.key, ur.text)
+			rd.checkURL("platform", ur.key, ur.text)
 		}
 	}
 }
 
-func (rd reader) url(section, key, text string) {
+func (rd reader) checkURL(section, key, text string) {
 	ur, err := url.Parse(text)
 	if err != nil || ur.Scheme != "http" && ur.Scheme != "https" || ur.Host == "" {
 		rd.add(section, key, "%q is not an http or https URL", text)
 	}
 }
 
+// add adds a finding about a key of a section.
 func (rd reader) add(section, key, format string, args ...any) {
 	rd.list.Add(finding.Place{File: rd.file, Section: section, Key: key}, format, args...)
 }
--- a/setting/setting_test.go
+++ b/setting/setting_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestDocumentIsInStep(t *testing.T) {
+func TestSettingsDocumentMatchesDescribe(t *testing.T) {
 	text, err := os.ReadFile("../docs/SETTINGS.md")
 	qt.Assert(t, err, qt.IsNil)
 	for _, ms := range []proto.Message{&rpc.EntrySettings{}, &rpc.StewardSettings{}, &rpc.RouterSettings{}} {
@@ -38,7 +38,7 @@
 	}
 }
 
-const good = `[vm]
+const validSettings = `[vm]
 id = a
 site = s
 failure_domain = f
@@ -50,32 +50,33 @@
 shared_key = 0123456789abcdef
 `
 
+// load writes text to a file and loads it into ms.
 func load(t testing.TB, text string, ms proto.Message) error {
 	file := filepath.Join(t.TempDir(), "x.ini")
 	qt.Assert(t, os.WriteFile(file, []byte(text), 0o600), qt.IsNil)
 	return setting.Load(file, ms)
 }
 
-func TestDefaultsRun(t *testing.T) {
+func TestLoadSetsDefaults(t *testing.T) {
 	var es rpc.EntrySettings
-	qt.Assert(t, load(t, good, &es), qt.IsNil)
+	qt.Assert(t, load(t, validSettings, &es), qt.IsNil)
 	qt.Assert(t, es.GetServing().GetProgress().AsDuration(), qt.Equals, 2*time.Second)
 	qt.Assert(t, es.GetStore().GetUrls(), qt.DeepEquals, []string{"http://127.0.0.1:1"})
 }
 
-func TestMistakesHaveTheirPlaces(t *testing.T) {
-	for _, ca := range []struct{ more, section, key, message string }{
-		{"[vm]\nid = b\n", "vm", "id", "written more than once"},
+func TestFindingsNameSectionAndKey(t *testing.T) {
+	for _, ca := range []struct{ appended, section, key, message string }{
+		{"[vm]\nid = b\n", "vm", "id", "set more than once"},
 		{"[billing]\ncopies = many\n", "billing", "copies", `"many" is not a whole number`},
 		{"[serving]\nretry_budget = 2\n", "serving", "retry_budget", "2 is outside 0 to 1"},
 		{"[listen]\nadmin = 127.0.0.1:7801\n", "listen", "admin", "same address as callers"},
-		{"[log]\nlevel = loud\n", "log", "level", `"loud" is none of debug, info, warning, error`},
-		{"[peers]\nfailed_after = 500ms\n", "peers", "failed_after", "shorter than two exchange intervals"},
+		{"[log]\nlevel = loud\n", "log", "level", `"loud" is not a level: want debug, info, warning or error`},
+		{"[peers]\nfailed_after = 500ms\n", "peers", "failed_after", "must be at least twice the exchange interval"},
 		{"[servin]\n", "servin", "", "unknown section"},
 	} {
 		var li finding.List
-		err := load(t, good+ca.more, &rpc.EntrySettings{})
-		qt.Assert(t, errors.As(err, &li), qt.IsTrue, qt.Commentf("%q", ca.more))
+		err := load(t, validSettings+ca.appended, &rpc.EntrySettings{})
+		qt.Assert(t, errors.As(err, &li), qt.IsTrue, qt.Commentf("%q", ca.appended))
 		qt.Assert(t, li, qt.HasLen, 1, qt.Commentf("%v", li))
 		qt.Assert(t, li[0].Place.Section, qt.Equals, ca.section)
 		qt.Assert(t, li[0].Place.Key, qt.Equals, ca.key)
@@ -84,7 +85,7 @@
 }
 
 func FuzzLoad(f *testing.F) {
-	f.Add(good)
+	f.Add(validSettings)
 	f.Add("[vm\n=\n[[x]]\nkey")
 	f.Fuzz(func(t *testing.T, text string) {
 		_ = load(t, text, &rpc.EntrySettings{})
--- a/setting/template_test.go
+++ b/setting/template_test.go
@@ -11,8 +11,9 @@
 	"tanagerpoint.example/tanager/rpc"
 )
 
-// render fills the deploy template as the users' platform does: values by name,
-// and sections for those that are present.
+// render fills in the deploy template as the users' platform does: {{name}} becomes
+// the value of that name, and {{#name}}...{{/name}} is left out without one. Within
+// such a section, {{.}} is its value.
 func render(template string, values map[string]string) string {
 	section := regexp.MustCompile(`(?s)\{\{#([a-z0-9_.]+)\}\}(.*?)\{\{/[a-z0-9_.]+\}\}`)
 	out := section.ReplaceAllStringFunc(template, func(text string) string {
@@ -28,7 +29,7 @@
 	})
 }
 
-func TestDeployTemplateGivesGoodSettings(t *testing.T) {
+func TestDeployTemplateRendersValidSettings(t *testing.T) {
 	template, err := os.ReadFile("../deploy/router.ini")
 	qt.Assert(t, err, qt.IsNil)
 	values := map[string]string{
@@ -36,7 +37,7 @@
 		"internal_ports.0": "7340", "platform.address": "10.200.1.7:8223",
 		"listen.frontend": "10.1.0.40:8227", "listen.readiness": "10.1.0.40:8220", "listen.control": "10.1.0.40:8229", "listen.directory": "10.1.0.40:8224",
 	}
-	// A deployment that states no bounds still starts.
+	// A deployment may set no bounds; the settings must still be valid.
 	qt.Assert(t, load(t, render(string(template), values), &rpc.RouterSettings{}), qt.IsNil)
 
 	for name, value := range map[string]string{
