--- a/event/event.go
+++ b/event/event.go
@@ -1,5 +1,5 @@
-// Package event holds the numbered events of the logs. docs/EVENTS.md is
-// their catalogue for operators.
+// Package event writes the daemons' logs as numbered events. docs/EVENTS.md lists
+// the events for operators.
 package event
 
 import (
@@ -12,7 +12,7 @@
 	"tanagerpoint.example/tanager/rpc"
 )
 
-// Number identifies an event. Numbers are never used again.
+// Number identifies an event. Numbers are never reused.
 type Number int
 
 // The events.
@@ -71,63 +71,63 @@
 	RatingsUnreachable   Number = 607
 )
 
-// texts are the messages by number.
+// texts holds the log messages by event number. docs/EVENTS.md repeats them.
 var texts = map[Number]string{
 	Started:              "daemon started",
-	Draining:             "graceful shutdown began",
+	Draining:             "graceful shutdown started",
 	Stopped:              "daemon stopped",
-	DrainTimedOut:        "graceful shutdown ended before its last answers",
+	DrainTimedOut:        "graceful shutdown timed out with requests in flight",
 	ListenerFailed:       "listener failed",
-	RequestPanicked:      "request ended by a defect of the program",
-	SettingsReloaded:     "settings read again and in force",
-	SettingsUnusable:     "settings file has findings; the settings in force are kept",
-	SettingsKept:         "settings file read again; this daemon takes changes at its next start",
-	LinesSuppressed:      "log lines left out",
-	PolicyApplied:        "policy revision in force",
-	PolicyRecordUnusable: "policy record cannot be used and counts as absent",
+	RequestPanicked:      "panic while serving a request",
+	SettingsReloaded:     "settings reloaded",
+	SettingsUnusable:     "settings file is invalid; keeping the current settings",
+	SettingsKept:         "settings file read again; this daemon applies changes only at its next start",
+	LinesSuppressed:      "log lines suppressed by the rate limit",
+	PolicyApplied:        "policy revision applied",
+	PolicyRecordUnusable: "policy record cannot be used; treating it as absent",
 	PolicyFromPeer:       "policy fetched from a peer",
-	StoreBehind:          "store gave an older policy revision than is in force; kept the newer",
-	WatchEnded:           "store watch ended and is opened anew",
+	StoreBehind:          "store returned an older policy revision; keeping the current one",
+	WatchEnded:           "store watch ended; reopening it",
 	StoreUnreachable:     "store unreachable",
-	Isolated:             "no evidence of the newest policy; new work is refused",
-	StoreLost:            "store stopped answering; the policy in force is kept",
-	IsolationEnded:       "evidence of the newest policy is back; new work is accepted",
+	Isolated:             "isolated: policy may be out of date; refusing new requests",
+	StoreLost:            "store stopped answering; keeping the current policy",
+	IsolationEnded:       "isolation ended: policy is current again; accepting new requests",
 	MemberJoined:         "peer joined",
-	MemberFailed:         "peer not heard of in time",
+	MemberFailed:         "peer timed out",
 	PeerUnreachable:      "exchange with a peer failed",
-	VMListUnreachable:    "VM list unreachable; the last one is kept",
-	PeerRefused:          "call on the peers' listener without the shared key",
+	VMListUnreachable:    "VM list unreachable; keeping the last one",
+	PeerRefused:          "call to the peers' listener refused: shared key missing or wrong",
 	AttemptFailed:        "attempt at an endpoint failed",
-	EndpointSuspended:    "endpoint gets no work after failures",
-	EndpointResumed:      "endpoint gets work again",
-	AnswerDropped:        "answer of another request dropped",
+	EndpointSuspended:    "endpoint suspended after failures",
+	EndpointResumed:      "endpoint resumed",
+	AnswerDropped:        "endpoint's answer dropped: it belongs to another request",
 	StreamResumed:        "stream resumed on a new connection",
-	VersionSuspect:       "candidate version stopped on this site's own evidence",
-	RetryBudgetSpent:     "retry budget spent",
+	VersionSuspect:       "candidate version stopped: this site judged it worse than the version in use",
+	RetryBudgetSpent:     "retry budget exhausted",
 	RequestRefused:       "request refused",
-	RequestFailed:        "request found no good answer",
-	StreamCut:            "stream could not be completed and was cut off",
-	EndpointLapsed:       "endpoint vanished while the store was unsteady; kept for the grace",
+	RequestFailed:        "request failed: no endpoint gave a usable answer",
+	StreamCut:            "stream could not be completed; closed the caller's connection",
+	EndpointLapsed:       "endpoint disappeared while the store was unstable; keeping it for the grace period",
 	RequestSent:          "request sent to an endpoint",
 	RequestAnswered:      "request answered",
-	CascadeEscalated:     "answer of a small model given up for one of the largest",
-	ClaimUnresolved:      "claim's answer was lost and is not yet resolved",
+	CascadeEscalated:     "cascade dropped a smaller model's answer to use the largest model",
+	ClaimUnresolved:      "claim not resolved yet: the store's answer was lost",
 	ClaimReleased:        "claim released: the call was not run",
 	BillsSealed:          "batch of bills sealed",
-	PeerBillsSealed:      "failed peer's bills sealed for it",
-	BillsNotCopied:       "bill has fewer copies than set",
+	PeerBillsSealed:      "sealed the bills of a failed peer",
+	BillsNotCopied:       "bill has fewer copies than configured",
 	BillsUnsealed:        "bills could not be sealed",
-	LeaseTaken:           "task's lease taken",
-	LeaseLost:            "task's lease lost",
-	RolloutMoved:         "roll-out moved to its next share",
+	LeaseTaken:           "task lease acquired",
+	LeaseLost:            "task lease lost",
+	RolloutMoved:         "roll-out advanced to its next share",
 	RolloutAborted:       "roll-out aborted",
-	ChangeFenced:         "change refused by its fencing token",
+	ChangeFenced:         "change refused: fencing token out of date",
 	OrderSent:            "order sent to an endpoint",
-	OrderRefused:         "order refused by an endpoint",
+	OrderRefused:         "order to an endpoint failed or was refused",
 	RatingsUnreachable:   "rating service unreachable",
 }
 
-// Numbers lists all events in order.
+// Numbers returns the numbers of all events in ascending order.
 func Numbers() []Number {
 	var out []Number
 	for nu := range texts {
@@ -137,21 +137,23 @@
 	return out
 }
 
-// Text gives an event's message.
+// Text returns the log message of an event.
 func Text(nu Number) string { return texts[nu] }
 
-// Fields are an event's details.
+// Fields are the key-value pairs of a log line, in addition to the event's number
+// and the VM.
 type Fields = logrus.Fields
 
-// Log writes numbered events.
+// Log writes numbered events. Its methods are safe for concurrent use.
 type Log struct {
-	lg     *logrus.Entry
-	budget *budget
-	// queue is set when the lines go through one.
+	lg      *logrus.Entry
+	limiter *lineLimiter
+	// queue is the writer of the lines if that is a Queue, nil otherwise.
 	queue *Queue
 }
 
-// NewLog gives a log that writes to wr in the format and from the level set.
+// NewLog returns a log that writes to wr in the format and from the level of se. Each
+// line names vm.
 func NewLog(wr io.Writer, se *rpc.LogSection, vm string) *Log {
 	lg := logrus.New()
 	lg.SetOutput(wr)
@@ -164,13 +166,14 @@
 		lg.SetLevel(le)
 	}
 	qu, _ := wr.(*Queue)
-	return &Log{lg: lg.WithField("vm", vm), budget: newBudget(), queue: qu}
+	return &Log{lg: lg.WithField("vm", vm), limiter: newLineLimiter(), queue: qu}
 }
 
-// Discard gives a log that writes nothing.
+// Discard returns a log that writes nothing.
 func Discard() *Log { return NewLog(io.Discard, nil, "") }
 
-// Dropped counts the lines that found no room in the queue.
+// Dropped returns the number of lines that the log's queue has dropped, 0 without a
+// queue.
 func (lo *Log) Dropped() int64 {
 	if lo.queue == nil {
 		return 0
@@ -178,32 +181,35 @@
 	return lo.queue.Dropped()
 }
 
-// Info writes an event in the ordinary course of things.
+// Info writes an event of normal operation.
 func (lo *Log) Info(nu Number, fi Fields) { lo.write(logrus.InfoLevel, nu, nil, fi) }
 
 // Warn writes an event that an operator may have to look at.
 func (lo *Log) Warn(nu Number, err error, fi Fields) { lo.write(logrus.WarnLevel, nu, err, fi) }
 
-// Debug writes an event that is too frequent for the ordinary log.
+// Debug writes an event that is too frequent for the default level.
 func (lo *Log) Debug(nu Number, err error, fi Fields) { lo.write(logrus.DebugLevel, nu, err, fi) }
 
-// WarnLimited writes an event of a request that went wrong. Its lines are bounded.
+// WarnLimited writes an event of a request that failed. At most
+// warnLinesPerWindow lines of each event are written in a second.
 func (lo *Log) WarnLimited(nu Number, err error, fi Fields) {
-	lo.bounded(logrus.WarnLevel, nu, err, fi, troubleLines)
+	lo.writeLimited(logrus.WarnLevel, nu, err, fi, warnLinesPerWindow)
 }
 
-// InfoLimited writes an event of a request in the ordinary course of things. Its
-// lines are bounded.
+// InfoLimited writes an event of normal operation that requests cause. At most
+// infoLinesPerWindow lines of each event are written in a second.
 func (lo *Log) InfoLimited(nu Number, fi Fields) {
-	lo.bounded(logrus.InfoLevel, nu, nil, fi, plainLines)
+	lo.writeLimited(logrus.InfoLevel, nu, nil, fi, infoLinesPerWindow)
 }
 
-func (lo *Log) bounded(le logrus.Level, nu Number, err error, fi Fields, most int) {
+// writeLimited writes a line if the rate limit allows it, and before it one line for
+// each event that was suppressed in a window that has ended.
+func (lo *Log) writeLimited(le logrus.Level, nu Number, err error, fi Fields, limit int) {
 	if !lo.lg.Logger.IsLevelEnabled(le) {
 		return
 	}
-	ok, leftOut := lo.budget.take(time.Now(), nu, most)
-	for of, n := range leftOut {
+	ok, suppressed := lo.limiter.allow(time.Now(), nu, limit)
+	for of, n := range suppressed {
 		lo.write(logrus.InfoLevel, LinesSuppressed, nil, Fields{"of_event": int(of), "left_out": n})
 	}
 	if ok {
--- a/event/event_test.go
+++ b/event/event_test.go
@@ -13,7 +13,7 @@
 	"tanagerpoint.example/tanager/event"
 )
 
-func TestCatalogueIsInStep(t *testing.T) {
+func TestCatalogueMatchesEvents(t *testing.T) {
 	text, err := os.ReadFile("../docs/EVENTS.md")
 	qt.Assert(t, err, qt.IsNil)
 	rows := 0
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestEveryEventIsLogged(t *testing.T) {
+func TestLinesNameEventAndVM(t *testing.T) {
 	var sb strings.Builder
 	lo := event.NewLog(&sb, nil, "vm-1")
 	lo.Info(event.Started, event.Fields{"callers": "127.0.0.1:1"})
@@ -36,9 +36,10 @@
 	qt.Assert(t, sb.String(), qt.Contains, "vm=vm-1")
 }
 
-// TestFloodOfRequestsIsBounded writes far more lines than the budget: failures
-// keep their part beside successes, and what is left out is told.
-func TestFloodOfRequestsIsBounded(t *testing.T) {
+// TestRequestLinesAreRateLimited writes far more lines than the limits allow. The
+// lines of successful requests must not use up the limit of failed ones, and the
+// numbers of suppressed lines must be logged.
+func TestRequestLinesAreRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var sb strings.Builder
 		lo := event.NewLog(&sb, nil, "vm-1")
@@ -56,18 +57,18 @@
 	})
 }
 
-// blocked is a writer that takes nothing until it is opened.
-type blocked struct{ open chan struct{} }
+// blockedWriter is a writer that blocks until open is closed.
+type blockedWriter struct{ open chan struct{} }
 
-func (bl blocked) Write(line []byte) (int, error) {
-	<-bl.open
+func (bw blockedWriter) Write(line []byte) (int, error) {
+	<-bw.open
 	return len(line), nil
 }
 
 func TestQueueNeverBlocks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bl := blocked{open: make(chan struct{})}
-		qu := event.NewQueue(bl)
+		bw := blockedWriter{open: make(chan struct{})}
+		qu := event.NewQueue(bw)
 		started := time.Now()
 		for range 5000 {
 			_, err := qu.Write([]byte("line\n"))
@@ -75,7 +76,7 @@
 		}
 		qt.Assert(t, time.Since(started) == 0, qt.IsTrue)
 		qt.Assert(t, qu.Dropped() >= 2900, qt.IsTrue)
-		close(bl.open)
+		close(bw.open)
 		qu.Close()
 	})
 }
--- a/event/queue.go
+++ b/event/queue.go
@@ -8,25 +8,27 @@
 	"tanagerpoint.example/tanager/worker"
 )
 
-// queuedLines bounds the lines that wait to be written.
-const queuedLines = 2048
+// maxQueuedLines is the maximum number of lines that wait to be written.
+const maxQueuedLines = 2048
 
-// Queue is a writer that never blocks: lines wait in a bounded queue, and are
-// dropped and counted when it is full.
+// Queue is an io.Writer that never blocks. Lines wait in a bounded queue until a
+// goroutine has written them; when the queue is full, lines are dropped and counted.
 type Queue struct {
 	lines   chan []byte
 	dropped atomic.Int64
 	group   *worker.Group
 }
 
-// NewQueue gives a queue before a writer. Close writes out what waits.
+// NewQueue returns a queue whose lines are written to wr, and starts its goroutine.
+// Close stops it.
 func NewQueue(wr io.Writer) *Queue {
-	qu := &Queue{lines: make(chan []byte, queuedLines), group: worker.NewGroup()}
+	qu := &Queue{lines: make(chan []byte, maxQueuedLines), group: worker.NewGroup()}
 	qu.group.Go(func(ctx context.Context) { qu.run(ctx, wr) })
 	return qu
 }
 
-// Write implements io.Writer for whole lines.
+// Write implements io.Writer. Each call must pass a whole line. It never returns an
+// error.
 func (qu *Queue) Write(line []byte) (int, error) {
 	select {
 	case qu.lines <- append([]byte(nil), line...):
@@ -36,10 +38,11 @@
 	return len(line), nil
 }
 
-// Dropped counts the lines that found no room.
+// Dropped returns the number of lines that were dropped because the queue was full
+// or because writing them failed.
 func (qu *Queue) Dropped() int64 { return qu.dropped.Load() }
 
-// Close writes out the lines that wait, and ends the queue.
+// Close writes the waiting lines and stops the queue's goroutine.
 func (qu *Queue) Close() { qu.group.Close() }
 
 func (qu *Queue) run(ctx context.Context, wr io.Writer) {
