--- a/metric/metric.go
+++ b/metric/metric.go
@@ -1,5 +1,5 @@
-// Package metric holds the daemons' OpenTelemetry instruments and serves them
-// in the Prometheus format.
+// Package metric defines the daemons' OpenTelemetry instruments and serves them in
+// the Prometheus format.
 package metric
 
 import (
@@ -15,7 +15,8 @@
 	sdk "go.opentelemetry.io/otel/sdk/metric"
 )
 
-// Metrics are a daemon's instruments.
+// Metrics holds a daemon's instruments. The help texts in registerInstruments say
+// what each one measures; durations are in seconds.
 type Metrics struct {
 	registry *prometheus.Registry
 	provider *sdk.MeterProvider
@@ -35,7 +36,7 @@
 	Orders     metric.Int64Counter
 }
 
-// Attributes of the instruments.
+// The keys of the instruments' attributes.
 const (
 	KeyRank         = "rank"
 	KeyOrganisation = "organisation"
@@ -45,7 +46,7 @@
 	KeyInTime       = "in_time"
 )
 
-// New gives instruments with a registry of their own.
+// New returns instruments with a Prometheus registry of their own.
 func New() (*Metrics, error) {
 	re := prometheus.NewRegistry()
 	ex, err := otelprom.New(otelprom.WithRegisterer(re), otelprom.WithoutScopeInfo())
@@ -54,22 +55,23 @@
 	}
 	pr := sdk.NewMeterProvider(sdk.WithReader(ex))
 	me := &Metrics{registry: re, provider: pr, meter: pr.Meter("tanager")}
-	if err := me.fill(); err != nil {
+	if err := me.registerInstruments(); err != nil {
 		return nil, eris.Wrap(err, "metric.New")
 	}
 	return me, nil
 }
 
-func (me *Metrics) fill() error {
+// registerInstruments creates the instruments that are fields of me.
+func (me *Metrics) registerInstruments() error {
 	var err error
-	counter := func(into *metric.Int64Counter, name, help string) {
+	counter := func(field *metric.Int64Counter, name, help string) {
 		if err == nil {
-			*into, err = me.meter.Int64Counter(name, metric.WithDescription(help))
+			*field, err = me.meter.Int64Counter(name, metric.WithDescription(help))
 		}
 	}
-	seconds := func(into *metric.Float64Histogram, name, help string) {
+	histogram := func(field *metric.Float64Histogram, name, help string) {
 		if err == nil {
-			*into, err = me.meter.Float64Histogram(name, metric.WithDescription(help), metric.WithUnit("s"),
+			*field, err = me.meter.Float64Histogram(name, metric.WithDescription(help), metric.WithUnit("s"),
 				metric.WithExplicitBucketBoundaries(.001, .002, .005, .01, .02, .05, .1, .2, .37, .5, 1, 2, 5, 10, 30, 60))
 		}
 	}
@@ -80,9 +82,9 @@
 	counter(&me.CostMicro, "tanager_cost_micro_credits", "Cost of answers by version, in micro-credits.")
 	counter(&me.InTime, "tanager_first_tokens", "First tokens by rank, and whether they came within the rank's target.")
 	counter(&me.Orders, "tanager_orders", "Orders to endpoints by outcome.")
-	seconds(&me.Latency, "tanager_latency", "Time from arrival to the answer's end.")
-	seconds(&me.FirstToken, "tanager_first_token", "Time from arrival to the first token.")
-	seconds(&me.QueueWait, "tanager_queue_wait", "Time in the queue.")
+	histogram(&me.Latency, "tanager_latency", "Time from arrival to the answer's end.")
+	histogram(&me.FirstToken, "tanager_first_token", "Time from arrival to the first token.")
+	histogram(&me.QueueWait, "tanager_queue_wait", "Time in the queue.")
 	if err == nil {
 		me.Worth, err = me.meter.Float64Counter("tanager_worth", metric.WithDescription("Worth of answers whose first token came within the rank's target."))
 	}
@@ -93,7 +95,7 @@
 	return err
 }
 
-// Gauge adds a value that is read when the metrics are scraped.
+// Gauge registers a gauge whose value read returns. read is called at each scrape.
 func (me *Metrics) Gauge(name, help string, read func() float64) error {
 	_, err := me.meter.Float64ObservableGauge(name, metric.WithDescription(help),
 		metric.WithFloat64Callback(func(_ context.Context, ob metric.Float64Observer) error {
@@ -103,8 +105,8 @@
 	return eris.Wrap(err, "Metrics.Gauge")
 }
 
-// GaugeBy adds values that are read when the metrics are scraped, one for each
-// value of an attribute.
+// GaugeBy registers a gauge with the attribute key. read is called at each scrape and
+// returns the gauge's value for each value of the attribute.
 func (me *Metrics) GaugeBy(name, help, key string, read func() map[string]float64) error {
 	_, err := me.meter.Float64ObservableGauge(name, metric.WithDescription(help),
 		metric.WithFloat64Callback(func(_ context.Context, ob metric.Float64Observer) error {
@@ -116,15 +118,15 @@
 	return eris.Wrap(err, "Metrics.GaugeBy")
 }
 
-// Handler serves the metrics.
+// Handler returns the handler that serves the metrics to Prometheus.
 func (me *Metrics) Handler() http.Handler {
 	return promhttp.HandlerFor(me.registry, promhttp.HandlerOpts{})
 }
 
-// Close ends the provider.
+// Close stops the meter provider.
 func (me *Metrics) Close() { _ = me.provider.Shutdown(context.Background()) }
 
-// With gives attributes for a measurement, from keys and values in turn.
+// With returns a measurement's attributes. pairs alternates between keys and values.
 func With(pairs ...string) metric.MeasurementOption {
 	ats := make([]attribute.KeyValue, 0, len(pairs)/2)
 	for i := 0; i+1 < len(pairs); i += 2 {
