--- a/command/command.go
+++ b/command/command.go
@@ -1,5 +1,5 @@
-// Package command holds what the programs' command lines share: exit codes,
-// the life of a daemon, and the sub-commands that daemons have in common.
+// Package command contains what the programs' command lines share: exit codes, the
+// sub-commands of all daemons, and starting, reloading and stopping a daemon.
 package command
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/spf13/cobra"
 )
 
-// Exit codes of all programs.
+// The exit codes of all programs.
 const (
 	ExitOK          = 0
 	ExitFailed      = 1
@@ -22,7 +22,7 @@
 	ExitRefused     = 5
 )
 
-// exitError carries an exit code with an error.
+// exitError is an error with the exit code of the program.
 type exitError struct {
 	code int
 	err  error
@@ -32,7 +32,7 @@
 
 func (ee *exitError) Unwrap() error { return ee.err }
 
-// Exit gives an error with which Execute ends the program.
+// Exit returns an error for which Execute returns code, or nil if err is nil.
 func Exit(code int, err error) error {
 	if err == nil {
 		return nil
@@ -40,7 +40,9 @@
 	return &exitError{code: code, err: err}
 }
 
-// Execute runs a program's command line and gives its exit code.
+// Execute adds the version sub-command, runs the command line and returns the exit
+// code. It prints an error to the standard error. Errors without an exit code, such
+// as cobra's own, count as usage errors.
 func Execute(root *cobra.Command) int {
 	root.SilenceErrors, root.SilenceUsage = true, true
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return Exit(ExitUsage, err) })
@@ -57,7 +59,8 @@
 	return ExitUsage
 }
 
-// NoArguments refuses arguments, as a usage error.
+// NoArguments is a cobra.PositionalArgs that returns a usage error if there are
+// arguments.
 func NoArguments(_ *cobra.Command, args []string) error {
 	if len(args) > 0 {
 		return Exit(ExitUsage, eris.Errorf("unexpected argument %q", args[0]))
@@ -67,7 +70,7 @@
 
 const versionHelp = `Print the program's version: its commit, when it was built from one.`
 
-// Version is set when a release is built.
+// Version is the program's version. The build of a release sets it.
 var Version = "development"
 
 func newVersionCommand(name string) *cobra.Command {
--- a/command/daemon.go
+++ b/command/daemon.go
@@ -21,36 +21,39 @@
 )
 
 const (
-	startLimit = 10 * time.Second
-	// closeLimit is the longest that bills may take to be sealed at the end.
-	closeLimit = 10 * time.Second
+	startTimeout = 10 * time.Second
+	// closeTimeout bounds Daemon.Close, in which an entry seals its last bills.
+	closeTimeout = 10 * time.Second
 )
 
-// Daemon is a program that serves until it is told to stop.
+// Daemon is a long-running program.
 type Daemon interface {
+	// Start opens the listeners, starts the goroutines and returns.
 	Start() error
-	// Drain finishes what is in service, until ctx ends.
+	// Drain starts the graceful shutdown, and blocks until the work in progress is
+	// complete or ctx ends.
 	Drain(ctx context.Context)
-	// Close ends the daemon and waits for its goroutines.
+	// Close stops the daemon and blocks until its goroutines have returned.
 	Close(ctx context.Context)
-	// Dump gives the daemon's state, to be written as JSON.
+	// Dump returns the daemon's state, which is encoded as JSON.
 	Dump() any
 }
 
-// Reloader is a Daemon whose settings can change while it serves.
+// Reloader is implemented by a Daemon that can apply new settings without a restart.
 type Reloader[S Settings] interface {
-	// Reload brings new settings into force, as far as a running daemon can.
+	// Reload applies those of the new settings that can change in a running daemon.
 	Reload(se S)
 }
 
-// Settings is what all daemons' settings have.
+// Settings is implemented by the settings messages of all daemons.
 type Settings interface {
 	proto.Message
 	GetVm() *rpc.VMSection
 	GetLog() *rpc.LogSection
 }
 
-// Program describes a daemon's program.
+// Program describes a daemon and its command line. DrainLimit returns the maximum
+// duration of the graceful shutdown.
 type Program[S Settings] struct {
 	Name        string
 	Short       string
@@ -62,7 +65,7 @@
 
 const settingsFlagHelp = "settings file, INI"
 
-// NewRoot gives a daemon's command line.
+// NewRoot returns a daemon's command line, for Execute.
 func NewRoot[S Settings](pr Program[S]) *cobra.Command {
 	root := &cobra.Command{Use: pr.Name, Short: pr.Short, Long: pr.Long}
 	root.AddCommand(newRunCommand(pr), newCheckCommand(pr), newSettingsCommand(pr))
@@ -91,12 +94,12 @@
 	return co
 }
 
-// run wires the daemon and serves until a signal comes.
+// run creates and starts the daemon, and returns after a signal has stopped it.
 func (pr Program[S]) run(file string, se S) error {
 	var da Daemon
-	lines := event.NewQueue(os.Stdout)
-	defer lines.Close()
-	lo := event.NewLog(lines, se.GetLog(), se.GetVm().GetId())
+	queue := event.NewQueue(os.Stdout)
+	defer queue.Close()
+	lo := event.NewLog(queue, se.GetLog(), se.GetVm().GetId())
 	app := fx.New(
 		fx.NopLogger,
 		fx.Supply(fx.Annotate(se)),
@@ -105,39 +108,41 @@
 			func() *event.Log { return lo },
 			pr.NewDaemon,
 		),
-		fx.Invoke(func(lc fx.Lifecycle, made Daemon) {
-			da = made
+		fx.Invoke(func(lc fx.Lifecycle, created Daemon) {
+			da = created
 			lc.Append(fx.Hook{
-				OnStart: func(context.Context) error { return made.Start() },
+				OnStart: func(context.Context) error { return created.Start() },
 				OnStop: func(ctx context.Context) error {
-					made.Close(ctx)
+					created.Close(ctx)
 					return nil
 				},
 			})
 		}),
 	)
-	starting, cancel := context.WithTimeout(context.Background(), startLimit)
+	startCtx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
-	if err := app.Start(starting); err != nil {
+	if err := app.Start(startCtx); err != nil {
 		return Exit(ExitFailed, err)
 	}
-	pr.wait(&settingsFile[S]{program: pr, path: file, log: lo, current: se}, da)
-	stopping, cancel := context.WithTimeout(context.Background(), closeLimit)
+	pr.runUntilDrained(&settingsFile[S]{program: pr, path: file, log: lo, current: se}, da)
+	stopCtx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
-	return Exit(ExitFailed, app.Stop(stopping))
+	return Exit(ExitFailed, app.Stop(stopCtx))
 }
 
-// wait serves until the daemon is drained, or a second signal comes.
-func (pr Program[S]) wait(sf *settingsFile[S], da Daemon) {
+// runUntilDrained handles signals until SIGTERM or SIGINT, and then drains the daemon.
+// It returns when the daemon is drained, after DrainLimit, or at another of these two
+// signals.
+func (pr Program[S]) runUntilDrained(sf *settingsFile[S], da Daemon) {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP, syscall.SIGUSR1)
 	defer signal.Stop(signals)
-	pr.serve(signals, sf, da)
-	draining, cancel := context.WithTimeout(context.Background(), pr.DrainLimit(sf.current))
+	pr.handleSignals(signals, sf, da)
+	drainCtx, cancel := context.WithTimeout(context.Background(), pr.DrainLimit(sf.current))
 	defer cancel()
 	wg := worker.NewGroup()
 	wg.Go(func(context.Context) {
-		da.Drain(draining)
+		da.Drain(drainCtx)
 		cancel()
 	})
 	for {
@@ -150,17 +155,18 @@
 			default:
 				cancel()
 			}
-		case <-draining.Done():
+		case <-drainCtx.Done():
 			wg.Close()
 			return
 		}
 	}
 }
 
-// serve goes by the signals until one ends the daemon.
-func (pr Program[S]) serve(signals <-chan os.Signal, sf *settingsFile[S], da Daemon) {
-	look := time.NewTicker(lookInterval)
-	defer look.Stop()
+// handleSignals reloads the settings on SIGHUP or when the file changes, writes a
+// dump on SIGUSR1, and returns on SIGTERM or SIGINT.
+func (pr Program[S]) handleSignals(signals <-chan os.Signal, sf *settingsFile[S], da Daemon) {
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
 	sf.changed()
 	for {
 		select {
@@ -174,7 +180,7 @@
 			default:
 				return
 			}
-		case <-look.C:
+		case <-ticker.C:
 			if sf.changed() {
 				sf.reload(da)
 			}
@@ -182,6 +188,7 @@
 	}
 }
 
+// writeDump writes the daemon's state to the standard error as indented JSON.
 func writeDump(da Daemon) {
 	text, err := json.MarshalIndent(da.Dump(), "", "  ")
 	if err != nil {
--- a/command/reload.go
+++ b/command/reload.go
@@ -8,32 +8,34 @@
 	"tanagerpoint.example/tanager/setting"
 )
 
-// lookInterval is the time between looks at the settings file: it may change
-// without a signal.
-const lookInterval = 2 * time.Second
+// pollInterval is the time between checks of the settings file's modification time.
+// The file is polled because it may change without a SIGHUP.
+const pollInterval = 2 * time.Second
 
-// settingsFile is a daemon's settings and the file that they come from. It is
-// used by one goroutine.
+// settingsFile holds a daemon's current settings and the file that they were loaded
+// from. It is used by one goroutine.
 type settingsFile[S Settings] struct {
 	program Program[S]
 	path    string
 	log     *event.Log
 	current S
-	// written is when the file was last changed, as last looked at.
-	written time.Time
+	// modTime is the file's modification time at the last check.
+	modTime time.Time
 }
 
-// changed tells whether the file is another one than at the last look.
+// changed reports whether the file's modification time differs from the one at the
+// last check. A file that cannot be read counts as unchanged.
 func (sf *settingsFile[S]) changed() bool {
 	fi, err := os.Stat(sf.path)
-	if err != nil || fi.ModTime().Equal(sf.written) {
+	if err != nil || fi.ModTime().Equal(sf.modTime) {
 		return false
 	}
-	sf.written = fi.ModTime()
+	sf.modTime = fi.ModTime()
 	return true
 }
 
-// reload reads the file and hands the settings to the daemon.
+// reload loads the file and passes the settings to the daemon if it is a Reloader. If
+// the file has findings, the current settings stay.
 func (sf *settingsFile[S]) reload(da Daemon) {
 	se := sf.program.NewSettings()
 	if err := setting.Load(sf.path, se); err != nil {
@@ -47,5 +49,5 @@
 	}
 	sf.current = se
 	re.Reload(se)
-	sf.log.Info(event.SettingsReloaded, event.Fields{"file": sf.path, "written": sf.written})
+	sf.log.Info(event.SettingsReloaded, event.Fields{"file": sf.path, "written": sf.modTime})
 }
--- a/command/reload_test.go
+++ b/command/reload_test.go
@@ -35,7 +35,7 @@
 retry_ratio = 0.9
 `
 
-// daemon notes what it is told.
+// daemon records the calls of its methods.
 type daemon struct {
 	started, drained chan bool
 	reloaded         chan float64
@@ -52,8 +52,9 @@
 
 func (da *daemon) Reload(rs *rpc.RouterSettings) { da.reloaded <- rs.GetServing().GetRetryRatio() }
 
-// TestSettingsAreReadAgain sends SIGHUP, which ended processes before; settings
-// with findings change nothing, and a changed file needs no signal.
+// TestSettingsAreReadAgain guards against a daemon that does not handle SIGHUP, whose
+// default action ends the process. Settings with findings must not be applied, and a
+// changed file must be applied without a signal.
 func TestSettingsAreReadAgain(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "router.ini")
 	write := func(text string) { qt.Assert(t, os.WriteFile(file, []byte(text), 0o600), qt.IsNil) }
@@ -70,7 +71,7 @@
 	ended := make(chan error, 1)
 	go func() { ended <- root.Execute() }()
 	<-da.started
-	time.Sleep(100 * time.Millisecond) // the signals are asked for just after the start
+	time.Sleep(100 * time.Millisecond) // signal.Notify is called shortly after Start
 	signal := func(sg syscall.Signal) { qt.Assert(t, syscall.Kill(os.Getpid(), sg), qt.IsNil) }
 	signal(syscall.SIGHUP)
 	qt.Assert(t, <-da.reloaded, qt.Equals, 0.9)
@@ -79,7 +80,7 @@
 	signal(syscall.SIGHUP)
 	select {
 	case <-da.reloaded:
-		t.Fatal("settings with findings came into force")
+		t.Fatal("settings with findings were applied")
 	case <-time.After(300 * time.Millisecond):
 	}
 
