--- a/setting/setting.go
+++ b/setting/setting.go
@@ -99,7 +99,7 @@
 	}
 	if text == "" {
 		if ru.GetRequired() {
-			rd.list.Add(pl, "required key is missing: %s", ru.GetHelp())
+			rd.list.Add(pl, "missing: %s", ru.GetHelp())
 		}
 		return
 	}
