--- a/cmd/tanager-entry/main.go
+++ b/cmd/tanager-entry/main.go
@@ -1,4 +1,4 @@
-// Command tanager-entry serves callers on an entry VM.
+// Command tanager-entry is the daemon that serves callers on an entry VM.
 package main
 
 import (
--- a/cmd/tanager-router/main.go
+++ b/cmd/tanager-router/main.go
@@ -1,5 +1,5 @@
-// Command tanager-router carries the requests of routes on a VM of the users'
-// platform.
+// Command tanager-router is the daemon that forwards the requests of routes to
+// endpoints. It runs on every VM of the users' platform.
 package main
 
 import (
@@ -21,7 +21,8 @@
 
 Exit codes: 0 ended, 1 failed, 2 usage, 3 findings in the settings.`
 
-// drainMargin is left of the time for a graceful shutdown to end the process.
+// drainMargin is the part of the drain_limit setting that is left for the process to
+// exit after the graceful shutdown.
 const drainMargin = 500 * time.Millisecond
 
 func main() {
--- a/cmd/tanager-standin/main.go
+++ b/cmd/tanager-standin/main.go
@@ -1,5 +1,5 @@
-// Command tanager-standin runs stand-ins for the platform, model engines and
-// plain services, for the demonstration and for tests.
+// Command tanager-standin runs stand-ins for the platform's services, for model
+// engines and for plain services. It is for the demonstration and for tests only.
 package main
 
 import (
@@ -33,8 +33,9 @@
 	os.Exit(command.Execute(root))
 }
 
-// serve serves a handler until a signal comes.
-func serve(address string, ha http.Handler, every func()) error {
+// serve serves a handler until SIGTERM or SIGINT. If tick is not nil, it is called every
+// 100 ms meanwhile.
+func serve(address string, ha http.Handler, tick func()) error {
 	li, err := net.Listen("tcp", address)
 	if err != nil {
 		return command.Exit(command.ExitFailed, eris.Wrap(err, "serve"))
@@ -43,8 +44,8 @@
 	defer stop()
 	sv := &http.Server{Handler: ha, ReadHeaderTimeout: 5 * time.Second}
 	gr := worker.NewGroup()
-	if every != nil {
-		gr.Every(100*time.Millisecond, func(context.Context) { every() })
+	if tick != nil {
+		gr.Every(100*time.Millisecond, func(context.Context) { tick() })
 	}
 	gr.Go(func(context.Context) {
 		<-ctx.Done()
--- a/cmd/tanager-standin/platform.go
+++ b/cmd/tanager-standin/platform.go
@@ -39,11 +39,11 @@
 		Use: "vms", Short: "Serve the VM list", Long: vmsHelp, Args: command.NoArguments,
 		RunE: func(*cobra.Command, []string) error {
 			li := standin.NewVMList(lag)
-			read := newVMFile(file, li)
-			if err := read(); err != nil {
+			update := newVMFile(file, li)
+			if err := update(); err != nil {
 				return command.Exit(command.ExitFailed, err)
 			}
-			return serve(address, li.Handler(), func() { _ = read() })
+			return serve(address, li.Handler(), func() { _ = update() })
 		},
 	}
 	co.Flags().StringVar(&address, "listen", "127.0.0.1:7601", "address, IP:port")
@@ -52,16 +52,17 @@
 	return co
 }
 
-// newVMFile gives a function that brings a list up to its file.
+// newVMFile returns a function that updates li from a file, if the file has changed
+// since the last call. The function must not be called concurrently.
 func newVMFile(file string, li *standin.VMList) func() error {
-	var readAt time.Time
-	known := map[vm.ID]bool{}
+	var modTime time.Time
+	listed := map[vm.ID]bool{}
 	return func() error {
 		fi, err := os.Stat(file)
 		if err != nil {
 			return eris.Wrap(err, "newVMFile")
 		}
-		if fi.ModTime().Equal(readAt) {
+		if fi.ModTime().Equal(modTime) {
 			return nil
 		}
 		text, err := os.ReadFile(file)
@@ -72,21 +73,21 @@
 		if err := json.Unmarshal(text, &grs); err != nil {
 			return eris.Wrapf(err, "newVMFile: %s", file)
 		}
-		readAt = fi.ModTime()
-		now := map[vm.ID]bool{}
+		modTime = fi.ModTime()
+		inFile := map[vm.ID]bool{}
 		for _, gr := range grs {
 			la := gr.Labels
 			for _, ta := range gr.Targets {
 				li.Put(vm.VM{ID: vm.ID(la.VM), Role: vm.Role(la.Role), State: vm.State(la.State), Address: ta, Endpoint: la.Endpoint})
 			}
-			now[vm.ID(la.VM)] = true
+			inFile[vm.ID(la.VM)] = true
 		}
-		for id := range known {
-			if !now[id] {
+		for id := range listed {
+			if !inFile[id] {
 				li.Remove(id)
 			}
 		}
-		known = now
+		listed = inFile
 		return nil
 	}
 }
@@ -122,14 +123,14 @@
 
 func newWeightsCommand() *cobra.Command {
 	var address string
-	var every time.Duration
+	var interval time.Duration
 	co := &cobra.Command{
 		Use: "weights", Short: "Serve the weight store", Long: weightsHelp, Args: command.NoArguments,
 		RunE: func(*cobra.Command, []string) error {
-			return serve(address, standin.NewWeights(every).Handler(), nil)
+			return serve(address, standin.NewWeights(interval).Handler(), nil)
 		},
 	}
 	co.Flags().StringVar(&address, "listen", "127.0.0.1:7603", "address, IP:port")
-	co.Flags().DurationVar(&every, "every", time.Second, "time between reads")
+	co.Flags().DurationVar(&interval, "every", time.Second, "time between reads")
 	return co
 }
--- a/cmd/tanager-steward/main.go
+++ b/cmd/tanager-steward/main.go
@@ -1,4 +1,4 @@
-// Command tanager-steward does the control work of a site.
+// Command tanager-steward is the daemon that runs the control plane of a site.
 package main
 
 import (
@@ -23,7 +23,8 @@
 
 Exit codes: 0 ended, 1 failed, 2 usage, 3 findings in the settings.`
 
-// drainLimit is the longest that tasks take to be given up.
+// drainLimit is the maximum duration of the graceful shutdown, which releases the
+// leases of the tasks.
 const drainLimit = 5 * time.Second
 
 func main() {
--- a/cmd/tanagerctl/daemon.go
+++ b/cmd/tanagerctl/daemon.go
@@ -17,10 +17,12 @@
 	"tanagerpoint.example/tanager/store"
 )
 
-const maxAnswerBytes = 64 << 20
+// maxResponseBytes is the maximum size of a response that is printed.
+const maxResponseBytes = 64 << 20
 
-// ask calls a daemon's admin listener and copies the answer out.
-func (opt *options) ask(co *cobra.Command, method, path string) error {
+// callAdmin sends a request to the admin listener of the daemon at --admin and prints
+// the body of the response.
+func (opt *options) callAdmin(co *cobra.Command, method, path string) error {
 	ctx, cancel := context.WithTimeout(co.Context(), callTimeout)
 	defer cancel()
 	rq, err := http.NewRequestWithContext(ctx, method, "http://"+opt.admin+path, nil)
@@ -33,7 +35,7 @@
 		return command.Exit(command.ExitUnreachable, err)
 	}
 	defer func() { _ = rs.Body.Close() }()
-	text, err := io.ReadAll(io.LimitReader(rs.Body, maxAnswerBytes))
+	text, err := io.ReadAll(io.LimitReader(rs.Body, maxResponseBytes))
 	if err != nil {
 		return command.Exit(command.ExitUnreachable, err)
 	}
@@ -56,9 +58,9 @@
 	co.Flags().BoolVar(&undo, "undo", false, "give the endpoint work again")
 	co.RunE = func(co *cobra.Command, args []string) error {
 		if len(args) == 0 {
-			return opt.ask(co, http.MethodPost, "/v1/drain")
+			return opt.callAdmin(co, http.MethodPost, "/v1/drain")
 		}
-		return opt.edit(co, []string{string(policy.KindEndpoint) + "/" + args[0]}, func(re policy.Record) (policy.Record, error) {
+		return opt.editRecords(co, []string{string(policy.KindEndpoint) + "/" + args[0]}, func(re policy.Record) (policy.Record, error) {
 			return re.With("spec.draining", !undo)
 		})
 	}
@@ -70,7 +72,7 @@
 func newDumpCommand(opt *options) *cobra.Command {
 	return &cobra.Command{
 		Use: "dump", Short: "Print a daemon's state", Long: dumpHelp, Args: command.NoArguments,
-		RunE: func(co *cobra.Command, _ []string) error { return opt.ask(co, http.MethodGet, "/v1/dump") },
+		RunE: func(co *cobra.Command, _ []string) error { return opt.callAdmin(co, http.MethodGet, "/v1/dump") },
 	}
 }
 
@@ -81,7 +83,7 @@
 	return &cobra.Command{
 		Use: "explain REQUEST-ID", Short: "Print why a request went where it did", Long: explainHelp, Args: cobra.ExactArgs(1),
 		RunE: func(co *cobra.Command, args []string) error {
-			return opt.ask(co, http.MethodGet, "/v1/explain/"+args[0])
+			return opt.callAdmin(co, http.MethodGet, "/v1/explain/"+args[0])
 		},
 	}
 }
@@ -99,15 +101,15 @@
 			defer cl.Close()
 			li, err := bill.List(co.Context(), cl, store.Key(opt.prefix))
 			if err != nil {
-				return exit(err)
+				return withExitCode(err)
 			}
 			if sum {
-				writeSums(co.OutOrStdout(), li)
+				printSums(co.OutOrStdout(), li)
 			} else {
-				writeBills(co.OutOrStdout(), li)
+				printBills(co.OutOrStdout(), li)
 			}
-			if doubled := li.Stored - len(li.Bills) - len(li.Repeated); doubled > 0 {
-				return command.Exit(command.ExitFailed, eris.Errorf("%d bills are stored more than once", doubled))
+			if duplicates := li.Stored - len(li.Bills) - len(li.Repeated); duplicates > 0 {
+				return command.Exit(command.ExitFailed, eris.Errorf("%d bills are stored more than once", duplicates))
 			}
 			return nil
 		},
@@ -116,18 +118,18 @@
 	return co
 }
 
-func writeBills(wr io.Writer, li bill.Listing) {
+func printBills(wr io.Writer, li bill.Listing) {
 	for _, bi := range li.Bills {
-		what := bi.GetVersion()
+		target := bi.GetVersion()
 		if bi.GetService() != "" {
-			what = bi.GetService()
+			target = bi.GetService()
 		}
 		_, _ = fmt.Fprintf(wr, "%s %s %s %s %s in=%d out=%d cost=%d %s\n", time.UnixMilli(bi.GetFinishedAtMs()).UTC().Format(time.RFC3339),
-			bi.GetId(), bi.GetOrganisation(), bi.GetRank(), what, bi.GetInputTokens(), bi.GetOutputTokens(), bi.GetCost(), bi.GetOutcome())
+			bi.GetId(), bi.GetOrganisation(), bi.GetRank(), target, bi.GetInputTokens(), bi.GetOutputTokens(), bi.GetCost(), bi.GetOutcome())
 	}
 }
 
-func writeSums(wr io.Writer, li bill.Listing) {
+func printSums(wr io.Writer, li bill.Listing) {
 	for _, su := range bill.Sum(li.Bills) {
 		_, _ = fmt.Fprintf(wr, "%-24s %-24s bills=%d in=%d out=%d cost=%d\n", su.Organisation, su.What, su.Bills, su.InputTokens, su.OutputTokens, su.Cost)
 	}
--- a/cmd/tanagerctl/main.go
+++ b/cmd/tanagerctl/main.go
@@ -1,5 +1,5 @@
-// Command tanagerctl is the operators' tool: it changes policy records and asks
-// daemons about themselves.
+// Command tanagerctl is the operators' command line tool. It changes policy records in
+// the store and queries and drains daemons through their admin listeners.
 package main
 
 import (
@@ -31,13 +31,14 @@
 the store or a daemon, 5 refused (a conflict, or an operator's key).`
 
 const (
-	// callTimeout bounds one call of the store.
+	// callTimeout bounds one call to the store or to a daemon.
 	callTimeout = 2 * time.Second
-	// changeTimeout bounds a change, with its lost answers resolved.
+	// changeTimeout bounds a change of records, including the time to find out the
+	// outcome of a commit whose answer was lost.
 	changeTimeout = 30 * time.Second
 )
 
-// options are the flags of all sub-commands.
+// options are the flags that all sub-commands share.
 type options struct {
 	store  []string
 	prefix string
@@ -50,11 +51,11 @@
 	opt := &options{}
 	root := &cobra.Command{Use: "tanagerctl", Short: "Change policy records and ask daemons", Long: help}
 	fl := root.PersistentFlags()
-	fl.StringSliceVar(&opt.store, "store", []string{environment("TANAGER_STORE", "http://127.0.0.1:7600")}, "base URLs of the key-value service")
-	fl.StringVar(&opt.prefix, "prefix", environment("TANAGER_PREFIX", "tanager/"), "prefix of the keys")
-	fl.StringVar(&opt.admin, "admin", environment("TANAGER_ADMIN", "127.0.0.1:7901"), "a daemon's admin listener, IP:port")
-	fl.StringVar(&opt.key, "key", environment("TANAGER_KEY", ""), "an operator's key")
-	fl.StringVar(&opt.by, "by", environment("TANAGER_BY", environment("USER", "operator")), "who makes the change")
+	fl.StringSliceVar(&opt.store, "store", []string{envOr("TANAGER_STORE", "http://127.0.0.1:7600")}, "base URLs of the key-value service")
+	fl.StringVar(&opt.prefix, "prefix", envOr("TANAGER_PREFIX", "tanager/"), "prefix of the keys")
+	fl.StringVar(&opt.admin, "admin", envOr("TANAGER_ADMIN", "127.0.0.1:7901"), "a daemon's admin listener, IP:port")
+	fl.StringVar(&opt.key, "key", envOr("TANAGER_KEY", ""), "an operator's key")
+	fl.StringVar(&opt.by, "by", envOr("TANAGER_BY", envOr("USER", "operator")), "who makes the change")
 	root.AddCommand(
 		newCheckCommand(opt), newDiffCommand(opt), newApplyCommand(opt), newGetCommand(opt), newDeleteCommand(opt),
 		newHistoryCommand(opt), newWithdrawCommand(opt), newRolloutCommand(opt), newHashKeyCommand(),
@@ -63,11 +64,12 @@
 	os.Exit(command.Execute(root))
 }
 
-func environment(name, byDefault string) string {
+// envOr returns an environment variable, or fallback if it is unset or empty.
+func envOr(name, fallback string) string {
 	if va := os.Getenv(name); va != "" {
 		return va
 	}
-	return byDefault
+	return fallback
 }
 
 func (opt *options) keys() configuration.Keys {
@@ -82,16 +84,16 @@
 	return configuration.NewWriter(opt.keys(), cl)
 }
 
-// load reads all records.
+// load reads all records from the store. Its error has an exit code.
 func (opt *options) load(ctx context.Context) (*policy.Set, error) {
 	cl := opt.client()
 	defer cl.Close()
 	se, _, err := opt.writer(cl).Load(ctx)
-	return se, exit(err)
+	return se, withExitCode(err)
 }
 
-// exit gives an error its exit code.
-func exit(err error) error {
+// withExitCode returns err with the exit code for its kind.
+func withExitCode(err error) error {
 	var li finding.List
 	var co *configuration.Conflict
 	switch {
--- a/cmd/tanagerctl/record.go
+++ b/cmd/tanagerctl/record.go
@@ -24,11 +24,11 @@
 func newCheckCommand(opt *options) *cobra.Command {
 	var offline bool
 	co := &cobra.Command{
-		Use: "check FILE...", Short: "Check records in files", Long: checkHelp, Args: needFiles,
+		Use: "check FILE...", Short: "Check records in files", Long: checkHelp, Args: requireFiles,
 		RunE: func(co *cobra.Command, files []string) error {
 			frs, err := policy.ReadFiles(files)
 			if err != nil {
-				return exit(err)
+				return withExitCode(err)
 			}
 			se := policy.NewSet()
 			if !offline {
@@ -37,7 +37,7 @@
 				}
 			}
 			if err := policy.ValidateFiles(se, frs).Err(); err != nil {
-				return exit(err)
+				return withExitCode(err)
 			}
 			_, err = fmt.Fprintf(co.OutOrStdout(), "%d records: no findings\n", len(frs))
 			return err
@@ -47,7 +47,9 @@
 	return co
 }
 
-func needFiles(_ *cobra.Command, args []string) error {
+// requireFiles is a cobra.PositionalArgs that returns a usage error if no file is
+// named.
+func requireFiles(_ *cobra.Command, args []string) error {
 	if len(args) == 0 {
 		return command.Exit(command.ExitUsage, eris.New("name at least one file"))
 	}
@@ -58,25 +60,27 @@
 
 func newDiffCommand(opt *options) *cobra.Command {
 	return &cobra.Command{
-		Use: "diff FILE...", Short: "Compare records in files with the store", Long: diffHelp, Args: needFiles,
+		Use: "diff FILE...", Short: "Compare records in files with the store", Long: diffHelp, Args: requireFiles,
 		RunE: func(co *cobra.Command, files []string) error {
 			frs, err := policy.ReadFiles(files)
 			if err != nil {
-				return exit(err)
+				return withExitCode(err)
 			}
 			se, err := opt.load(co.Context())
 			if err != nil {
 				return err
 			}
 			for _, fr := range frs {
-				writeDiff(co.OutOrStdout(), se, fr.Record)
+				printDiff(co.OutOrStdout(), se, fr.Record)
 			}
 			return nil
 		},
 	}
 }
 
-func writeDiff(wr io.Writer, se *policy.Set, re policy.Record) {
+// printDiff prints a record that differs from the stored one: a new one with "+", a
+// deleted one with "-", and a changed one with "~", its stored and its new spec.
+func printDiff(wr io.Writer, se *policy.Set, re policy.Record) {
 	old, _, ok := se.Record(policy.Kind(re.GetKind()), re.GetId())
 	switch {
 	case !ok:
@@ -88,6 +92,7 @@
 	}
 }
 
+// indent formats JSON with one level of indentation and mark before each line.
 func indent(mark string, text []byte) string {
 	var sb strings.Builder
 	for line := range strings.Lines(string(pretty.Pretty(text))) {
@@ -104,25 +109,25 @@
 
 func newApplyCommand(opt *options) *cobra.Command {
 	return &cobra.Command{
-		Use: "apply FILE...", Short: "Write records from files", Long: applyHelp, Args: needFiles,
+		Use: "apply FILE...", Short: "Write records from files", Long: applyHelp, Args: requireFiles,
 		RunE: func(co *cobra.Command, files []string) error {
 			frs, err := policy.ReadFiles(files)
 			if err != nil {
-				return exit(err)
+				return withExitCode(err)
 			}
-			place := map[string]string{}
+			fileOf := map[string]string{}
 			rq := configuration.Request{ChangedBy: opt.by}
 			for _, fr := range frs {
-				place[fr.Record.Key()] = fr.File
+				fileOf[fr.Record.Key()] = fr.File
 				rq.Changes = append(rq.Changes, configuration.Change{Record: fr.Record, Base: fr.Base})
 			}
-			rq.Place = func(key string) finding.Place { return finding.Place{File: place[key], Section: key} }
+			rq.Place = func(key string) finding.Place { return finding.Place{File: fileOf[key], Section: key} }
 			return opt.apply(co, rq)
 		},
 	}
 }
 
-// apply makes a change and prints what it did.
+// apply commits a request and prints the new revision and the changed records.
 func (opt *options) apply(co *cobra.Command, rq configuration.Request) error {
 	cl := opt.client()
 	defer cl.Close()
@@ -130,7 +135,7 @@
 	defer cancel()
 	rs, err := opt.writer(cl).Apply(ctx, rq)
 	if err != nil {
-		return exit(err)
+		return withExitCode(err)
 	}
 	if rs.Revision == 0 {
 		_, err = fmt.Fprintln(co.OutOrStdout(), "nothing differs")
@@ -152,7 +157,7 @@
 				return err
 			}
 			if len(args) == 1 && strings.Contains(args[0], "/") {
-				return writeRecord(co.OutOrStdout(), se, args[0])
+				return printRecord(co.OutOrStdout(), se, args[0])
 			}
 			for _, re := range se.Records() {
 				if len(args) == 0 || re.GetKind() == args[0] {
@@ -164,7 +169,8 @@
 	}
 }
 
-func writeRecord(wr io.Writer, se *policy.Set, key string) error {
+// printRecord prints the stored record of a KIND/ID, with its revision.
+func printRecord(wr io.Writer, se *policy.Set, key string) error {
 	ki, id, _ := strings.Cut(key, "/")
 	re, revision, ok := se.Record(policy.Kind(ki), id)
 	if !ok {
@@ -172,7 +178,7 @@
 	}
 	text, err := sjson.SetBytes(re.JSON, "revision", int64(revision))
 	if err != nil {
-		return exit(err)
+		return withExitCode(err)
 	}
 	_, err = wr.Write(pretty.Pretty(text))
 	return err
@@ -184,13 +190,14 @@
 	return &cobra.Command{
 		Use: "delete KIND/ID...", Short: "Delete records", Long: deleteHelp, Args: cobra.MinimumNArgs(1),
 		RunE: func(co *cobra.Command, args []string) error {
-			return opt.edit(co, args, func(re policy.Record) (policy.Record, error) { return re.With("deleted", true) })
+			return opt.editRecords(co, args, func(re policy.Record) (policy.Record, error) { return re.With("deleted", true) })
 		},
 	}
 }
 
-// edit changes stored records by a function, comparing what it read.
-func (opt *options) edit(co *cobra.Command, keys []string, change func(re policy.Record) (policy.Record, error)) error {
+// editRecords replaces stored records by what edit returns for them, in one commit.
+// It is refused if one of them has changed since it was read.
+func (opt *options) editRecords(co *cobra.Command, keys []string, edit func(re policy.Record) (policy.Record, error)) error {
 	se, err := opt.load(co.Context())
 	if err != nil {
 		return err
@@ -202,8 +209,8 @@
 		if !ok {
 			return command.Exit(command.ExitFailed, eris.Errorf("no record %q", key))
 		}
-		if re, err = change(re); err != nil {
-			return exit(err)
+		if re, err = edit(re); err != nil {
+			return withExitCode(err)
 		}
 		rq.Changes = append(rq.Changes, configuration.Change{Record: re, Base: revision})
 	}
@@ -221,7 +228,7 @@
 			defer cl.Close()
 			res, err := opt.writer(cl).History(co.Context(), args[0])
 			if err != nil {
-				return exit(err)
+				return withExitCode(err)
 			}
 			for _, re := range res {
 				_, _ = fmt.Fprintf(co.OutOrStdout(), "%s by %s\n%s", re.GetOperationId(), re.GetChangedBy(), indent("", re.JSON))
--- a/cmd/tanagerctl/version.go
+++ b/cmd/tanagerctl/version.go
@@ -25,7 +25,7 @@
 			if err != nil {
 				return err
 			}
-			rq, err := withdrawal(se, policy.VersionID(args[0]), policy.VersionID(stable))
+			rq, err := withdrawalRequest(se, policy.VersionID(args[0]), policy.VersionID(stable))
 			if err != nil {
 				return command.Exit(command.ExitFailed, err)
 			}
@@ -37,11 +37,13 @@
 	return co
 }
 
-// withdrawal gives the change that withdraws a version.
-func withdrawal(se *policy.Set, id, stable policy.VersionID) (configuration.Request, error) {
+// withdrawalRequest returns the request that withdraws version id. It also makes
+// stable the stable version of the model if id was, and aborts an active roll-out
+// from or to id. ChangedBy is left to the caller.
+func withdrawalRequest(se *policy.Set, id, stable policy.VersionID) (configuration.Request, error) {
 	var rq configuration.Request
 	add := func(ki policy.Kind, id, path string, value any) error {
-		ch, err := change(se, ki, id, path, value)
+		ch, err := fieldChange(se, ki, id, path, value)
 		rq.Changes = append(rq.Changes, ch)
 		return err
 	}
@@ -64,8 +66,8 @@
 	return rq, nil
 }
 
-// change gives a change of one field of a stored record.
-func change(se *policy.Set, ki policy.Kind, id, path string, value any) (configuration.Change, error) {
+// fieldChange returns the change that sets one field of a stored record.
+func fieldChange(se *policy.Set, ki policy.Kind, id, path string, value any) (configuration.Change, error) {
 	re, revision, ok := se.Record(ki, id)
 	if !ok {
 		return configuration.Change{}, eris.Errorf("no record %s/%s", ki, id)
@@ -105,7 +107,7 @@
 				policy.SchemaVersion, args[0], ve.Model, mo.StableVersion, args[1])
 			re, err := policy.ParseRecord([]byte(text))
 			if err != nil {
-				return exit(err)
+				return withExitCode(err)
 			}
 			return opt.apply(co, configuration.Request{ChangedBy: opt.by, Changes: []configuration.Change{{Record: re}}})
 		},
@@ -116,7 +118,7 @@
 	return &cobra.Command{
 		Use: use + " ROLLOUT", Short: short, Long: short + ".", Args: cobra.ExactArgs(1),
 		RunE: func(co *cobra.Command, args []string) error {
-			return opt.edit(co, []string{string(policy.KindRollout) + "/" + args[0]}, func(re policy.Record) (policy.Record, error) {
+			return opt.editRecords(co, []string{string(policy.KindRollout) + "/" + args[0]}, func(re policy.Record) (policy.Record, error) {
 				return re.With("spec.state", state)
 			})
 		},
--- a/command/daemon.go
+++ b/command/daemon.go
@@ -72,11 +72,12 @@
 	return root
 }
 
-const runHelp = `Serve until SIGTERM or SIGINT, then end gracefully: leave the address
-answers, finish every request, seal the bills. A second signal ends at once.
-SIGHUP, or a change of the settings file, reads the settings again; listeners
-and places keep those of the start. Settings with findings change nothing.
-SIGUSR1 writes a dump of the state, as JSON, to the standard error.`
+const runHelp = `Serve until SIGTERM or SIGINT, then shut down gracefully: leave the address
+answers, finish every request, seal the bills. A second signal ends the shutdown
+at once. SIGHUP, or a change of the settings file, reloads the settings; listeners,
+the store's address and the peers' seeds change only at the next start. Settings
+with findings are not applied. SIGUSR1 writes a dump of the state, as JSON, to the
+standard error.`
 
 func newRunCommand[S Settings](pr Program[S]) *cobra.Command {
 	var file string
