--- a/command/reload.go
+++ b/command/reload.go
@@ -39,12 +39,12 @@
 func (sf *settingsFile[S]) reload(da Daemon) {
 	se := sf.program.NewSettings()
 	if err := setting.Load(sf.path, se); err != nil {
-		sf.log.Warn(event.SettingsUnusable, err, event.Fields{"file": sf.path})
+		sf.log.Warn(event.SettingsInvalid, err, event.Fields{"file": sf.path})
 		return
 	}
 	re, ok := da.(Reloader[S])
 	if !ok {
-		sf.log.Info(event.SettingsKept, event.Fields{"file": sf.path})
+		sf.log.Info(event.SettingsNeedRestart, event.Fields{"file": sf.path})
 		return
 	}
 	sf.current = se
--- a/event/event.go
+++ b/event/event.go
@@ -24,8 +24,8 @@
 	ListenerFailed       Number = 104
 	RequestPanicked      Number = 105
 	SettingsReloaded     Number = 106
-	SettingsUnusable     Number = 107
-	SettingsKept         Number = 108
+	SettingsInvalid      Number = 107
+	SettingsNeedRestart  Number = 108
 	LinesSuppressed      Number = 109
 	PolicyApplied        Number = 200
 	PolicyRecordUnusable Number = 201
@@ -40,7 +40,7 @@
 	MemberFailed         Number = 301
 	PeerUnreachable      Number = 302
 	VMListUnreachable    Number = 303
-	PeerRefused          Number = 304
+	PeerCallRefused      Number = 304
 	AttemptFailed        Number = 400
 	EndpointSuspended    Number = 401
 	EndpointResumed      Number = 402
@@ -80,8 +80,8 @@
 	ListenerFailed:       "listener failed",
 	RequestPanicked:      "panic while serving a request",
 	SettingsReloaded:     "settings reloaded",
-	SettingsUnusable:     "settings file is invalid; keeping the current settings",
-	SettingsKept:         "settings file read again; this daemon applies changes only at its next start",
+	SettingsInvalid:      "settings file is invalid; keeping the current settings",
+	SettingsNeedRestart:  "settings file read again; this daemon applies changes only at its next start",
 	LinesSuppressed:      "log lines suppressed by the rate limit",
 	PolicyApplied:        "policy revision applied",
 	PolicyRecordUnusable: "policy record cannot be used; treating it as absent",
@@ -96,7 +96,7 @@
 	MemberFailed:         "peer timed out",
 	PeerUnreachable:      "exchange with a peer failed",
 	VMListUnreachable:    "VM list unreachable; keeping the last one",
-	PeerRefused:          "call to the peers' listener refused: shared key missing or wrong",
+	PeerCallRefused:      "call to the peers' listener refused: shared key missing or wrong",
 	AttemptFailed:        "attempt at an endpoint failed",
 	EndpointSuspended:    "endpoint suspended after failures",
 	EndpointResumed:      "endpoint resumed",
--- a/peer/server.go
+++ b/peer/server.go
@@ -43,7 +43,7 @@
 	tw := rpc.NewPeerServiceServer(se)
 	return http.HandlerFunc(func(wr http.ResponseWriter, rq *http.Request) {
 		if !isBearer(rq.Header.Get("Authorization"), se.group.opt.SharedKey) {
-			se.group.log.Warn(event.PeerRefused, nil, event.Fields{"from": rq.RemoteAddr})
+			se.group.log.Warn(event.PeerCallRefused, nil, event.Fields{"from": rq.RemoteAddr})
 			http.Error(wr, "shared key required", http.StatusUnauthorized)
 			return
 		}
