--- a/relay/run.go
+++ b/relay/run.go
@@ -59,7 +59,7 @@
 	if !es.ShouldEscalate() || !ro.budgets.take(time.Now(), ca.service.ID, escalationShare) {
 		return false
 	}
-	ro.log.Request(event.ModelRaised, event.Fields{
+	ro.log.InfoLimited(event.CascadeEscalated, event.Fields{
 		"request": ca.request.ID, "from": ca.modelID(), "confidence": an.head.Confidence,
 		"pressure_ms": int64(float64(ca.meanBacklog) * 1000), "left_ms": left.Milliseconds(),
 	})
@@ -76,7 +76,7 @@
 		return false
 	}
 	if !ro.budgets.take(time.Now(), ca.service.ID, failureShare) {
-		ro.log.Trouble(event.RetryBudgetSpent, nil, event.Fields{"request": ca.request.ID})
+		ro.log.WarnLimited(event.RetryBudgetSpent, nil, event.Fields{"request": ca.request.ID})
 		return false
 	}
 	ro.metrics.Retries.Add(ctx, 1)
@@ -87,7 +87,7 @@
 // endpoint's own answer if there is one, and returns a refusal otherwise.
 func (ro *Router) writeFailure(ctx context.Context, wr http.ResponseWriter, ca *call, last *failure) *Refusal {
 	now := time.Now()
-	ro.log.Trouble(event.RequestFailed, last.err, event.Fields{
+	ro.log.WarnLimited(event.RequestFailed, last.err, event.Fields{
 		"request": ca.request.ID, "route": ca.route.ID, "sends": ca.sends, "may_have_run": ca.mayHaveRun,
 		"after_ms": now.Sub(ca.request.ReceivedAt).Milliseconds(),
 	})
@@ -132,7 +132,7 @@
 		pauseMs = longestPauseMs
 	}
 	ro.metrics.Requests.Add(ctx, 1, metric.With(metric.KeyOutcome, outcome))
-	ro.log.Request(event.RequestAnswered, event.Fields{
+	ro.log.InfoLimited(event.RequestAnswered, event.Fields{
 		"request": ca.request.ID, "route": ca.route.ID, "status": an.status, "outcome": outcome, "model": ca.modelID(), "sends": ca.sends,
 		"first_ms": took.Milliseconds(), "pause_ms": pauseMs, "whole_ms": time.Since(ca.request.ReceivedAt).Milliseconds(),
 	})
