--- a/bill/seal.go
+++ b/bill/seal.go
@@ -39,7 +39,7 @@
 		if err == nil && ou.Applied {
 			return nil
 		}
-		if err != nil && !errors.Is(err, store.ErrUnknown) {
+		if err != nil && !errors.Is(err, store.ErrOutcomeUnknown) {
 			return eris.Wrap(err, "Book.seal")
 		}
 		if part, missing, err = bo.missing(ctx, prefix, bills); err != nil {
--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -66,28 +66,28 @@
 	}
 }
 
-func endpointRecord(i int) policy.Stored {
+func endpointRecord(i int) policy.StoredRecord {
 	text := fmt.Sprintf(`{"schema_version":2,"kind":"endpoint","id":"replica-%d","spec":{"kind":"ENGINE","url":"http://10.1.0.1:8000","failure_domain":"fd-%d","versions":["m-1","m-2"],"slots":8,"echoes_request_id":true}}`, i, i%16)
-	return policy.Stored{Key: fmt.Sprintf("endpoint/replica-%d", i), Value: []byte(text), ModRevision: store.Revision(i + 1)}
+	return policy.StoredRecord{Key: fmt.Sprintf("endpoint/replica-%d", i), Value: []byte(text), ModRevision: store.Revision(i + 1)}
 }
 
 // BenchmarkPolicyChange measures one change of one record in a set of many.
 func BenchmarkPolicyChange(b *testing.B) {
 	for _, n := range []int{20, 220, 2200} {
 		b.Run(fmt.Sprintf("records-%d", n), func(b *testing.B) {
-			var all []policy.Stored
+			var all []policy.StoredRecord
 			for i := range n {
 				all = append(all, endpointRecord(i))
 			}
 			before := heap()
-			se := policy.NewSet().With(0, all)
+			se := policy.NewSet().WithChanges(0, all)
 			held := heap() - before
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := 0; b.Loop(); i++ {
 				ch := endpointRecord(i % n)
 				ch.ModRevision = store.Revision(n + i + 1)
-				se = se.With(0, []policy.Stored{ch})
+				se = se.WithChanges(0, []policy.StoredRecord{ch})
 			}
 			b.ReportMetric(float64(held)/float64(n), "heap-bytes/record")
 		})
--- a/claim/batch.go
+++ b/claim/batch.go
@@ -24,7 +24,7 @@
 	case re := <-cm.done:
 		return re
 	case <-ctx.Done():
-		return result{err: errors.Join(store.ErrUnknown, ctx.Err())}
+		return result{err: errors.Join(store.ErrOutcomeUnknown, ctx.Err())}
 	}
 }
 
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -206,7 +206,7 @@
 		if re.err == nil {
 			return re.outcome, nil
 		}
-		if !unknown && !errors.Is(re.err, store.ErrUnknown) && ctx.Err() == nil {
+		if !unknown && !errors.Is(re.err, store.ErrOutcomeUnknown) && ctx.Err() == nil {
 			return store.Outcome{}, re.err
 		}
 		unknown = true
--- a/cmd/tanagerctl/daemon.go
+++ b/cmd/tanagerctl/daemon.go
@@ -59,7 +59,7 @@
 			return opt.ask(co, http.MethodPost, "/v1/drain")
 		}
 		return opt.edit(co, []string{string(policy.KindEndpoint) + "/" + args[0]}, func(re policy.Record) (policy.Record, error) {
-			return re.With("spec.draining", !undo)
+			return re.WithField("spec.draining", !undo)
 		})
 	}
 	return co
--- a/cmd/tanagerctl/main.go
+++ b/cmd/tanagerctl/main.go
@@ -101,7 +101,7 @@
 		return command.Exit(command.ExitBadSettings, err)
 	case errors.As(err, &co), errors.Is(err, configuration.ErrFenced):
 		return command.Exit(command.ExitRefused, err)
-	case errors.Is(err, store.ErrUnknown), errors.Is(err, store.ErrUnavailable):
+	case errors.Is(err, store.ErrOutcomeUnknown), errors.Is(err, store.ErrUnavailable):
 		return command.Exit(command.ExitUnreachable, err)
 	default:
 		return command.Exit(command.ExitFailed, err)
--- a/cmd/tanagerctl/record.go
+++ b/cmd/tanagerctl/record.go
@@ -114,7 +114,7 @@
 			rq := configuration.Request{ChangedBy: opt.by}
 			for _, fr := range frs {
 				place[fr.Record.Key()] = fr.File
-				rq.Changes = append(rq.Changes, configuration.Change{Record: fr.Record, Base: fr.Base})
+				rq.Changes = append(rq.Changes, configuration.Change{Record: fr.Record, Base: fr.BaseRevision})
 			}
 			rq.Place = func(key string) finding.Place { return finding.Place{File: place[key], Section: key} }
 			return opt.apply(co, rq)
@@ -184,7 +184,7 @@
 	return &cobra.Command{
 		Use: "delete KIND/ID...", Short: "Delete records", Long: deleteHelp, Args: cobra.MinimumNArgs(1),
 		RunE: func(co *cobra.Command, args []string) error {
-			return opt.edit(co, args, func(re policy.Record) (policy.Record, error) { return re.With("deleted", true) })
+			return opt.edit(co, args, func(re policy.Record) (policy.Record, error) { return re.WithField("deleted", true) })
 		},
 	}
 }
--- a/cmd/tanagerctl/version.go
+++ b/cmd/tanagerctl/version.go
@@ -70,7 +70,7 @@
 	if !ok {
 		return configuration.Change{}, eris.Errorf("no record %s/%s", ki, id)
 	}
-	re, err := re.With(path, value)
+	re, err := re.WithField(path, value)
 	return configuration.Change{Record: re, Base: revision}, err
 }
 
@@ -117,7 +117,7 @@
 		Use: use + " ROLLOUT", Short: short, Long: short + ".", Args: cobra.ExactArgs(1),
 		RunE: func(co *cobra.Command, args []string) error {
 			return opt.edit(co, []string{string(policy.KindRollout) + "/" + args[0]}, func(re policy.Record) (policy.Record, error) {
-				return re.With("spec.state", state)
+				return re.WithField("spec.state", state)
 			})
 		},
 	}
--- a/configuration/holder.go
+++ b/configuration/holder.go
@@ -46,18 +46,18 @@
 
 // Update brings changes into force that are complete from the holder's own
 // revision, or an earlier one, up to revision. Older changes have no effect.
-func (ho *Holder) Update(revision store.Revision, changes []policy.Stored) {
+func (ho *Holder) Update(revision store.Revision, changes []policy.StoredRecord) {
 	ho.change(func(old *policy.Set) *policy.Set {
 		if revision <= old.Revision {
 			return old
 		}
-		return old.With(revision, changes)
+		return old.WithChanges(revision, changes)
 	})
 }
 
 // Follow brings the changes into force that translate makes of the set. The
 // set does not change between the two: changes may depend on what it holds.
-func (ho *Holder) Follow(translate func(se *policy.Set) []policy.Stored) {
+func (ho *Holder) Follow(translate func(se *policy.Set) []policy.StoredRecord) {
 	ho.change(func(old *policy.Set) *policy.Set {
 		changes := translate(old)
 		newest := store.Revision(0)
@@ -67,17 +67,17 @@
 		if newest <= old.Revision {
 			return old
 		}
-		return old.With(newest, changes)
+		return old.WithChanges(newest, changes)
 	})
 }
 
 // Replace brings all records at a revision into force; what they lack is gone.
-func (ho *Holder) Replace(revision store.Revision, records []policy.Stored) {
+func (ho *Holder) Replace(revision store.Revision, records []policy.StoredRecord) {
 	ho.change(func(old *policy.Set) *policy.Set {
 		if revision <= old.Revision {
 			return old
 		}
-		return old.Replaced(revision, records)
+		return old.WithSnapshot(revision, records)
 	})
 }
 
--- a/configuration/watcher.go
+++ b/configuration/watcher.go
@@ -42,12 +42,12 @@
 	Prefix() store.Key
 	// Complete gives the records of a read of all keys, and the revision up to
 	// which they are complete.
-	Complete(pa store.Page) ([]policy.Stored, store.Revision)
+	Complete(pa store.ReadResult) ([]policy.StoredRecord, store.Revision)
 	// Removes tells whether records vanish from the store. Where they do, a
 	// complete read takes away what it lacks.
 	Removes() bool
 	// Changed gives what watched changes change in a set.
-	Changed(se *policy.Set, chs []store.Change) []policy.Stored
+	Changed(se *policy.Set, chs []store.Change) []policy.StoredRecord
 }
 
 // Prefix implements Layout.
@@ -57,8 +57,8 @@
 func (ke Keys) Removes() bool { return false }
 
 // Complete implements Layout.
-func (ke Keys) Complete(pa store.Page) ([]policy.Stored, store.Revision) {
-	var out []policy.Stored
+func (ke Keys) Complete(pa store.ReadResult) ([]policy.StoredRecord, store.Revision) {
+	var out []policy.StoredRecord
 	newest := store.Revision(0)
 	for _, kv := range pa.KeyValues {
 		out = append(out, ke.stored(kv))
@@ -68,8 +68,8 @@
 }
 
 // Changed implements Layout.
-func (ke Keys) Changed(_ *policy.Set, chs []store.Change) []policy.Stored {
-	var out []policy.Stored
+func (ke Keys) Changed(_ *policy.Set, chs []store.Change) []policy.StoredRecord {
+	var out []policy.StoredRecord
 	for _, ch := range chs {
 		out = append(out, ke.stored(ch.KeyValue))
 	}
@@ -159,10 +159,10 @@
 func (wa *Watcher) follow(ctx context.Context, from store.Revision) store.Revision {
 	wa.opened.Add(1)
 	next := from
-	err := wa.store.Watch(ctx, wa.layout.Prefix(), from, func(no store.Notice) {
+	err := wa.store.Watch(ctx, wa.layout.Prefix(), from, func(no store.WatchUpdate) {
 		wa.noteAnswer()
 		if len(no.Changes) > 0 {
-			wa.holder.Follow(func(se *policy.Set) []policy.Stored { return wa.layout.Changed(se, no.Changes) })
+			wa.holder.Follow(func(se *policy.Set) []policy.StoredRecord { return wa.layout.Changed(se, no.Changes) })
 		}
 		next = max(next, no.Revision+1)
 		wa.holder.Confirm(wa.holder.Set().Revision, time.Now())
@@ -181,8 +181,8 @@
 	return next
 }
 
-func (ke Keys) stored(kv store.KeyValue) policy.Stored {
-	return policy.Stored{
+func (ke Keys) stored(kv store.KeyValue) policy.StoredRecord {
+	return policy.StoredRecord{
 		Key:         strings.TrimPrefix(string(kv.Key), string(ke.Records())),
 		Value:       kv.Value,
 		ModRevision: kv.ModRevision,
--- a/configuration/writer.go
+++ b/configuration/writer.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		return nil, 0, eris.Wrap(err, "Writer.Load")
 	}
-	var changes []policy.Stored
+	var changes []policy.StoredRecord
 	head := store.Revision(0)
 	for _, kv := range pa.KeyValues {
 		if kv.Key == wr.keys.Head() {
@@ -91,9 +91,9 @@
 			continue
 		}
 		key := strings.TrimPrefix(string(kv.Key), string(wr.keys.Records()))
-		changes = append(changes, policy.Stored{Key: key, Value: kv.Value, ModRevision: kv.ModRevision})
+		changes = append(changes, policy.StoredRecord{Key: key, Value: kv.Value, ModRevision: kv.ModRevision})
 	}
-	return policy.NewSet().With(head, changes), head, nil
+	return policy.NewSet().WithChanges(head, changes), head, nil
 }
 
 // Apply writes the records of a request. The error is a finding.List, a
@@ -178,7 +178,7 @@
 		if ok && old.SameContent(ch.Record) || !ok && ch.Record.GetDeleted() {
 			continue
 		}
-		re, err := ch.Record.Stamped(st)
+		re, err := ch.Record.WithStamp(st)
 		if err != nil {
 			return nil, err
 		}
--- a/endpoint/endpoint.go
+++ b/endpoint/endpoint.go
@@ -59,8 +59,8 @@
 	// Status is the endpoint's HTTP status, 0 when there was none.
 	Status int
 	// Body is the start of the endpoint's own error.
-	Body    []byte
-	Problem error
+	Body []byte
+	Err  error
 }
 
 // Error gives the cause and what lay behind it.
@@ -68,15 +68,15 @@
 	if fa.Status != 0 {
 		return fmt.Sprintf("endpoint answered %d: %s", fa.Status, fa.Body)
 	}
-	return fmt.Sprintf("endpoint %s: %v", fa.Cause, fa.Problem)
+	return fmt.Sprintf("endpoint %s: %v", fa.Cause, fa.Err)
 }
 
 // Unwrap gives what lay behind the failure.
-func (fa *Failure) Unwrap() error { return fa.Problem }
+func (fa *Failure) Unwrap() error { return fa.Err }
 
-// CallerMistake tells whether the endpoint found the request itself wrong, so
+// InvalidRequest tells whether the endpoint found the request itself wrong, so
 // that another endpoint would as well.
-func (fa *Failure) CallerMistake() bool {
+func (fa *Failure) InvalidRequest() bool {
 	return fa.Status >= 400 && fa.Status < 500 && fa.Status != http.StatusTooManyRequests && fa.Status != http.StatusRequestTimeout
 }
 
@@ -159,7 +159,7 @@
 	rs, err := hc.Do(rq.WithContext(httptrace.WithClientTrace(ctx, tc)))
 	if err != nil {
 		co.close()
-		fa := &Failure{Cause: CauseUnreachable, Sent: sent.Load(), Problem: err}
+		fa := &Failure{Cause: CauseUnreachable, Sent: sent.Load(), Err: err}
 		if fa.Sent {
 			fa.Cause = CauseBroken
 		}
@@ -195,7 +195,7 @@
 	if co.silent.Load() {
 		cause = CauseSilent
 	}
-	return &Failure{Cause: cause, Sent: true, Problem: err}
+	return &Failure{Cause: cause, Sent: true, Err: err}
 }
 
 // refused reads an answer that is an error.
--- a/endpoint/carry.go
+++ b/endpoint/forward.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// CarriedCall is one attempt whose request is carried as it came.
-type CarriedCall struct {
+// ForwardCall is one attempt whose request is carried as it came.
+type ForwardCall struct {
 	URL    string
 	Method string
 	// Target is the request target, path and query as the caller wrote them.
@@ -21,15 +21,15 @@
 	Body   []byte
 	// Repeatable calls may use a pooled connection.
 	Repeatable bool
-	// AnswerBy is when the answer's head must have come.
-	AnswerBy time.Time
+	// HeaderDeadline is when the answer's head must have come.
+	HeaderDeadline time.Time
 	// Progress is the longest silence after the head.
 	Progress time.Duration
 }
 
-// CarriedAnswer is an answer whose body is being read. It is used by one
+// ForwardAnswer is an answer whose body is being read. It is used by one
 // goroutine, and must be closed.
-type CarriedAnswer struct {
+type ForwardAnswer struct {
 	Status int
 	Header http.Header
 	// Length is the body's, -1 when it is not known.
@@ -37,27 +37,27 @@
 	conn   *connection
 }
 
-// Carry sends a call and waits for the answer's head. The error is a *Failure.
-func (cl *Client) Carry(ctx context.Context, ca CarriedCall) (*CarriedAnswer, error) {
+// Forward sends a call and waits for the answer's head. The error is a *Failure.
+func (cl *Client) Forward(ctx context.Context, ca ForwardCall) (*ForwardAnswer, error) {
 	rq, err := ca.request()
 	if err != nil {
-		return nil, &Failure{Cause: CauseUnreachable, Problem: err}
+		return nil, &Failure{Cause: CauseUnreachable, Err: err}
 	}
 	hc := cl.fresh
 	if ca.Repeatable {
 		hc = cl.pooled
 	}
-	co, fa := cl.open(ctx, hc, rq, time.Until(ca.AnswerBy))
+	co, fa := cl.open(ctx, hc, rq, time.Until(ca.HeaderDeadline))
 	if fa != nil {
 		return nil, fa
 	}
 	co.progress = ca.Progress
 	co.timer.Reset(ca.Progress)
 	rs := co.response
-	return &CarriedAnswer{Status: rs.StatusCode, Header: rs.Header, Length: rs.ContentLength, conn: co}, nil
+	return &ForwardAnswer{Status: rs.StatusCode, Header: rs.Header, Length: rs.ContentLength, conn: co}, nil
 }
 
-func (ca CarriedCall) request() (*http.Request, error) {
+func (ca ForwardCall) request() (*http.Request, error) {
 	rq, err := http.NewRequest(ca.Method, ca.URL, nil)
 	if err != nil {
 		return nil, err
@@ -77,11 +77,11 @@
 }
 
 // Read reads the body; each byte puts off the silence's end.
-func (an *CarriedAnswer) Read(buf []byte) (int, error) { return an.conn.Read(buf) }
+func (an *ForwardAnswer) Read(buf []byte) (int, error) { return an.conn.Read(buf) }
 
-// Failed gives the failure for an error of Read.
-func (an *CarriedAnswer) Failed(err error) *Failure { return an.conn.failed(err) }
+// ReadFailure gives the failure for an error of Read.
+func (an *ForwardAnswer) ReadFailure(err error) *Failure { return an.conn.failed(err) }
 
 // Close ends the answer. The connection is closed unless the body was read to
 // its end.
-func (an *CarriedAnswer) Close() { an.conn.close() }
+func (an *ForwardAnswer) Close() { an.conn.close() }
--- a/endpoint/order.go
+++ b/endpoint/order.go
@@ -33,8 +33,8 @@
 	LoraPath string `json:"lora_path,omitempty"`
 }
 
-// Send carries an order to its engine.
-func (cl *Client) Send(ctx context.Context, or Order) error {
+// SendOrder carries an order to its engine.
+func (cl *Client) SendOrder(ctx context.Context, or Order) error {
 	path := "/v1/unload_lora_adapter"
 	if or.Load {
 		path = "/v1/load_lora_adapter"
@@ -68,8 +68,8 @@
 // maxModelsBytes bounds an engine's list of models.
 const maxModelsBytes = 1 << 20
 
-// Loaded lists the models that an engine has, by the OpenAI API's model list.
-func (cl *Client) Loaded(ctx context.Context, url string) ([]string, error) {
+// LoadedModels lists the models that an engine has, by the OpenAI API's model list.
+func (cl *Client) LoadedModels(ctx context.Context, url string) ([]string, error) {
 	rq, err := http.NewRequest(http.MethodGet, url+"/v1/models", nil)
 	if err != nil {
 		return nil, eris.Wrap(err, "Client.Loaded")
--- a/endpoint/plain.go
+++ b/endpoint/plain.go
@@ -34,11 +34,11 @@
 	Load   Load
 }
 
-// Plain sends a call and reads the whole answer. The error is a *Failure.
-func (cl *Client) Plain(ctx context.Context, ca PlainCall) (PlainAnswer, error) {
+// CallPlain sends a call and reads the whole answer. The error is a *Failure.
+func (cl *Client) CallPlain(ctx context.Context, ca PlainCall) (PlainAnswer, error) {
 	rq, err := http.NewRequest(ca.Method, ca.URL+ca.Path, bytes.NewReader(ca.Body))
 	if err != nil {
-		return PlainAnswer{}, &Failure{Cause: CauseUnreachable, Problem: err}
+		return PlainAnswer{}, &Failure{Cause: CauseUnreachable, Err: err}
 	}
 	rq.GetBody = nil
 	rq.Header = ca.Header.Clone()
@@ -54,14 +54,14 @@
 	defer co.close()
 	if id := co.response.Header.Get(HeaderAttempt); id != "" && id != string(ca.Attempt) {
 		cl.dropped.Add(1)
-		return PlainAnswer{}, &Failure{Cause: CauseMismatched, Sent: true, Problem: eris.Errorf("answer is for %q", id)}
+		return PlainAnswer{}, &Failure{Cause: CauseMismatched, Sent: true, Err: eris.Errorf("answer is for %q", id)}
 	}
 	body, err := io.ReadAll(io.LimitReader(co, ca.MaxBytes+1))
 	if err != nil {
 		return PlainAnswer{}, co.failed(err)
 	}
 	if int64(len(body)) > ca.MaxBytes {
-		return PlainAnswer{}, &Failure{Cause: CauseTooLarge, Sent: true, Problem: eris.Errorf("answer is larger than %d bytes", ca.MaxBytes)}
+		return PlainAnswer{}, &Failure{Cause: CauseTooLarge, Sent: true, Err: eris.Errorf("answer is larger than %d bytes", ca.MaxBytes)}
 	}
 	return PlainAnswer{
 		Status: co.response.StatusCode, Header: co.response.Header, Body: body,
--- a/endpoint/stream.go
+++ b/endpoint/stream.go
@@ -39,8 +39,8 @@
 	Attempt AttemptID
 	// Body is a chat completion request with stream set.
 	Body []byte
-	// Fresh asks for a new connection.
-	Fresh bool
+	// NewConnection asks for a new connection.
+	NewConnection bool
 	// EchoesID tells that the engine's chunks carry the attempt's id.
 	EchoesID bool
 }
@@ -69,13 +69,13 @@
 func (cl *Client) Chat(ctx context.Context, ca EngineCall) (*Stream, error) {
 	rq, err := http.NewRequest(http.MethodPost, ca.URL+chatPath, bytes.NewReader(ca.Body))
 	if err != nil {
-		return nil, &Failure{Cause: CauseUnreachable, Problem: err}
+		return nil, &Failure{Cause: CauseUnreachable, Err: err}
 	}
 	rq.GetBody = nil
 	rq.Header.Set("Content-Type", "application/json")
 	rq.Header.Set(HeaderAttempt, string(ca.Attempt))
 	hc := cl.pooled
-	if ca.Fresh {
+	if ca.NewConnection {
 		hc = cl.fresh
 	}
 	st := &Stream{client: cl, call: ca, ctx: ctx, wantID: "chatcmpl-" + string(ca.Attempt), last: -1}
@@ -96,7 +96,7 @@
 	if id := co.response.Header.Get(HeaderAttempt); st.call.EchoesID && id != "" && id != string(st.call.Attempt) {
 		co.close()
 		st.client.dropped.Add(1)
-		return &Failure{Cause: CauseMismatched, Sent: true, Problem: eris.Errorf("answer is for %q", id)}
+		return &Failure{Cause: CauseMismatched, Sent: true, Err: eris.Errorf("answer is for %q", id)}
 	}
 	if lo := parseLoad(co.response.Header.Get(HeaderLoad)); lo.Known {
 		st.load = lo
@@ -145,7 +145,7 @@
 		return st.conn.failed(err)
 	}
 	st.client.dropped.Add(1)
-	return &Failure{Cause: CauseMismatched, Sent: true, Problem: errMismatched}
+	return &Failure{Cause: CauseMismatched, Sent: true, Err: errMismatched}
 }
 
 // mine tells whether a chunk belongs to this attempt.
@@ -174,7 +174,7 @@
 			st.client.resumed.Add(1)
 			return true
 		}
-		if fa.CallerMistake() {
+		if fa.InvalidRequest() {
 			return false
 		}
 	}
--- a/endpoint/stream_test.go
+++ b/endpoint/stream_test.go
@@ -81,9 +81,9 @@
 		URL: sv.URL, Attempt: "a", Method: http.MethodPost, Path: "/", Body: []byte("x"), MaxBytes: 100,
 		Header: http.Header{"Idempotency-Key": []string{"k"}}, Deadline: time.Now().Add(time.Minute),
 	}
-	_, err := cl.Plain(t.Context(), call)
+	_, err := cl.CallPlain(t.Context(), call)
 	qt.Assert(t, err, qt.IsNil)
-	_, err = cl.Plain(t.Context(), call)
+	_, err = cl.CallPlain(t.Context(), call)
 	var fa *endpoint.Failure
 	qt.Assert(t, errors.As(err, &fa), qt.IsTrue)
 	qt.Assert(t, fa.Sent, qt.IsTrue)
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -63,7 +63,7 @@
 // with err. It takes a retry from the budget when it returns true.
 func (at *attempts) shouldRetry(ctx context.Context, n int64, err error) bool {
 	var fa *endpoint.Failure
-	if !errors.As(err, &fa) || fa.CallerMistake() || ctx.Err() != nil {
+	if !errors.As(err, &fa) || fa.InvalidRequest() || ctx.Err() != nil {
 		return false
 	}
 	if n >= at.daemon.settings.GetServing().GetMaxAttempts() || time.Now().After(at.chat.deadline) {
@@ -97,7 +97,7 @@
 	sentAt := time.Now()
 	at.steps.add("sent to %s as %s", en.ID, attempt)
 	st, err := da.client.Chat(ctx, endpoint.EngineCall{
-		URL: en.Url, Attempt: attempt, Body: body, Fresh: fresh, EchoesID: en.EchoesRequestId,
+		URL: en.Url, Attempt: attempt, Body: body, NewConnection: fresh, EchoesID: en.EchoesRequestId,
 	})
 	if err != nil {
 		return nil, at.recordFailure(ctx, en, sentAt, err)
@@ -145,12 +145,12 @@
 	da := at.daemon
 	var fa *endpoint.Failure
 	if !errors.As(err, &fa) {
-		fa = &endpoint.Failure{Cause: endpoint.CauseBroken, Sent: true, Problem: err}
+		fa = &endpoint.Failure{Cause: endpoint.CauseBroken, Sent: true, Err: err}
 	}
 	at.chat.sent = at.chat.sent || fa.Sent
 	at.lastFailure = fa
 	result := placement.Failed
-	if fa.CallerMistake() || ctx.Err() != nil {
+	if fa.InvalidRequest() || ctx.Err() != nil {
 		result = placement.Neutral
 	}
 	endpointResult := result
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -126,7 +126,7 @@
 	da.explanations = newExplanations()
 	da.orgLimits = newInFlightLimiter()
 	if ur := da.settings.GetPlatform().GetRatingUrl(); ur != "" {
-		da.ratings = newRatingSubmitter(rating.NewService(ur, da.net))
+		da.ratings = newRatingSubmitter(rating.NewClient(ur, da.net))
 	}
 }
 
@@ -262,7 +262,7 @@
 
 // ApplyPolicy adds records to the policy in force without a store, as if a peer
 // had sent them. The policy's revision becomes the newest of the records'.
-func (da *Daemon) ApplyPolicy(records []policy.Stored) {
+func (da *Daemon) ApplyPolicy(records []policy.StoredRecord) {
 	newest := store.Revision(0)
 	for _, st := range records {
 		newest = max(newest, st.ModRevision)
--- a/entry/fuzz_test.go
+++ b/entry/fuzz_test.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	da.ApplyPolicy([]policy.Stored{
+	da.ApplyPolicy([]policy.StoredRecord{
 		{Key: "rank/r", Value: []byte(`{"schema_version":2,"kind":"rank","id":"r","spec":{}}`), ModRevision: 1},
 		{Key: "organisation/o", Value: []byte(`{"schema_version":2,"kind":"organisation","id":"o","spec":{"key_hashes":["` + policy.HashKey("k") + `"],"allowed_models":["*"]}}`), ModRevision: 2},
 		{Key: "model/m", Value: []byte(`{"schema_version":2,"kind":"model","id":"m","spec":{"stable_version":"m-1"}}`), ModRevision: 3},
--- a/entry/rating.go
+++ b/entry/rating.go
@@ -29,11 +29,11 @@
 // answers while its queue is full, and those whose submission fails, because
 // ratings are only a sample.
 type ratingSubmitter struct {
-	service *rating.Service
+	service *rating.Client
 	queue   chan rating.Answer
 }
 
-func newRatingSubmitter(se *rating.Service) *ratingSubmitter {
+func newRatingSubmitter(se *rating.Client) *ratingSubmitter {
 	return &ratingSubmitter{service: se, queue: make(chan rating.Answer, maxQueuedRatings)}
 }
 
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -133,7 +133,7 @@
 	out := &problem{status: http.StatusBadGateway, code: "endpoint_failed", message: err.Error(), retryAt: time.Now().Add(overloadedRetryDelay)}
 	var fa *endpoint.Failure
 	switch {
-	case errors.As(err, &fa) && fa.CallerMistake():
+	case errors.As(err, &fa) && fa.InvalidRequest():
 		out.status, out.code, out.retryAt = fa.Status, "endpoint_refused", time.Time{}
 	case ctx.Err() != nil:
 		out.status, out.code, out.message = http.StatusGatewayTimeout, "deadline_exceeded", "the deadline passed while an endpoint was asked"
--- a/peer/policy.go
+++ b/peer/policy.go
@@ -68,9 +68,9 @@
 
 // take brings records of a peer into force. The holder keeps what is newer.
 func (gr *Group) take(rs *rpc.FetchPolicyResponse) {
-	var changes []policy.Stored
+	var changes []policy.StoredRecord
 	for _, en := range rs.GetEntries() {
-		changes = append(changes, policy.Stored{Key: en.GetKey(), Value: en.GetValue(), ModRevision: store.Revision(en.GetModRevision())})
+		changes = append(changes, policy.StoredRecord{Key: en.GetKey(), Value: en.GetValue(), ModRevision: store.Revision(en.GetModRevision())})
 	}
 	if rs.GetComplete() {
 		gr.holder.Replace(store.Revision(rs.GetRevision()), changes)
@@ -84,8 +84,8 @@
 func (gr *Group) policyAfter(after store.Revision) *rpc.FetchPolicyResponse {
 	set := gr.holder.Set()
 	rs := &rpc.FetchPolicyResponse{Revision: int64(set.Revision)}
-	changes := set.After(after)
-	if after < set.Floor {
+	changes := set.ChangedAfter(after)
+	if after < set.SnapshotRevision {
 		rs.Complete, changes = true, set.Live()
 	}
 	for _, st := range changes {
--- a/policy/file.go
+++ b/policy/file.go
@@ -13,9 +13,9 @@
 // FileRecord is a record from an operator's file. Base is the revision that it
 // was made from, as `tanagerctl get` writes it; 0 when it is not given.
 type FileRecord struct {
-	Record Record
-	File   string
-	Base   store.Revision
+	Record       Record
+	File         string
+	BaseRevision store.Revision
 }
 
 // revisionField is the field in files that carries the base revision. It is
@@ -71,7 +71,7 @@
 			li.Add(finding.Place{File: file, Section: it.Get("kind").Str + "/" + it.Get("id").Str}, "record %d: %v", i+1, err)
 			continue
 		}
-		out = append(out, FileRecord{Record: re, File: file, Base: base})
+		out = append(out, FileRecord{Record: re, File: file, BaseRevision: base})
 	}
 	return out
 }
--- a/policy/parse.go
+++ b/policy/parse.go
@@ -8,7 +8,7 @@
 
 // parseEntry reads a stored record. One that cannot be used has faults and no
 // value: it counts as absent, which refuses work and never allows more.
-func parseEntry(st Stored) entry {
+func parseEntry(st StoredRecord) entry {
 	en := entry{stored: store.KeyValue{Key: store.Key(st.Key), Value: st.Value, ModRevision: st.ModRevision}}
 	pl := finding.Place{Section: st.Key}
 	re, err := ParseRecord(st.Value)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -54,9 +54,9 @@
 
 func TestEditKeepsUnknownFields(t *testing.T) {
 	re := record(t, `{"schema_version":3,"kind":"version","id":"m-3","later":{"a":1},"spec":{"model":"m","new_field":[1]}}`)
-	re, err := re.With("spec.state", "WITHDRAWN")
+	re, err := re.WithField("spec.state", "WITHDRAWN")
 	qt.Assert(t, err, qt.IsNil)
-	re, err = re.Stamped(policy.Stamp{ChangedBy: "asha", OperationID: "op"})
+	re, err = re.WithStamp(policy.Stamp{ChangedBy: "asha", OperationID: "op"})
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, string(re.JSON), qt.Contains, `"new_field":[1]`)
 	qt.Assert(t, string(re.JSON), qt.Contains, `"later":{"a":1}`)
@@ -67,21 +67,21 @@
 func TestSetIsAFunctionOfItsRecords(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(rt, "changes")
-		var all []policy.Stored
+		var all []policy.StoredRecord
 		for i := range n {
 			id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "id")
 			deleted := rapid.SampledFrom([]string{"true", "false"}).Draw(rt, "deleted")
 			text := `{"schema_version":2,"kind":"model","id":"` + id + `","deleted":` + deleted + `,"spec":{"stable_version":"v"}}`
-			all = append(all, policy.Stored{Key: "model/" + id, Value: []byte(text), ModRevision: store.Revision(i + 1)})
+			all = append(all, policy.StoredRecord{Key: "model/" + id, Value: []byte(text), ModRevision: store.Revision(i + 1)})
 		}
-		want := policy.NewSet().With(0, all)
+		want := policy.NewSet().WithChanges(0, all)
 		got := policy.NewSet()
 		for range 3 {
 			order := rapid.Permutation(all).Draw(rt, "order")
 			cut := rapid.IntRange(0, n).Draw(rt, "cut")
-			got = got.With(0, order[:cut])
+			got = got.WithChanges(0, order[:cut])
 		}
-		got = got.With(0, rapid.Permutation(all).Draw(rt, "last"))
+		got = got.WithChanges(0, rapid.Permutation(all).Draw(rt, "last"))
 		if got.Revision != want.Revision || len(got.Records()) != len(want.Records()) {
 			rt.Fatalf("revision %d with %d records, want %d with %d", got.Revision, len(got.Records()), want.Revision, len(want.Records()))
 		}
@@ -92,8 +92,8 @@
 		}
 		// What a peer is told after a revision completes a set at it.
 		at := store.Revision(rapid.IntRange(0, n).Draw(rt, "at"))
-		behind := policy.NewSet().With(0, all[:at])
-		if caughtUp := behind.With(want.Revision, want.After(behind.Revision)); len(caughtUp.Records()) != len(want.Records()) {
+		behind := policy.NewSet().WithChanges(0, all[:at])
+		if caughtUp := behind.WithChanges(want.Revision, want.ChangedAfter(behind.Revision)); len(caughtUp.Records()) != len(want.Records()) {
 			rt.Fatalf("a peer's answer does not complete the set")
 		}
 	})
--- a/policy/record.go
+++ b/policy/record.go
@@ -90,9 +90,9 @@
 	return []byte("{}")
 }
 
-// With gives a copy with one field set; path is as in the JSON, for example
+// WithField gives a copy with one field set; path is as in the JSON, for example
 // spec.state. Fields that this program does not know are kept.
-func (re Record) With(path string, value any) (Record, error) {
+func (re Record) WithField(path string, value any) (Record, error) {
 	text, err := sjson.SetBytes(bytes.Clone(re.JSON), path, value)
 	if err != nil {
 		return Record{}, eris.Wrap(err, "Record.With")
@@ -108,8 +108,8 @@
 	FencingToken int64
 }
 
-// Stamped gives a copy that carries a stamp.
-func (re Record) Stamped(st Stamp) (Record, error) {
+// WithStamp gives a copy that carries a stamp.
+func (re Record) WithStamp(st Stamp) (Record, error) {
 	for _, fi := range []struct {
 		path  string
 		value any
@@ -120,7 +120,7 @@
 		{"fencing_token", st.FencingToken},
 	} {
 		var err error
-		if re, err = re.With(fi.path, fi.value); err != nil {
+		if re, err = re.WithField(fi.path, fi.value); err != nil {
 			return Record{}, eris.Wrap(err, "Record.Stamped")
 		}
 	}
--- a/policy/route.go
+++ b/policy/route.go
@@ -71,13 +71,13 @@
 	}
 }
 
-// Timeout is when a request that arrived at a time must have its final answer.
-func (rt Route) Timeout(arrived time.Time) time.Time {
+// Deadline is when a request that arrived at a time must have its final answer.
+func (rt Route) Deadline(arrived time.Time) time.Time {
 	return arrived.Add(time.Duration(rt.TimeoutMs) * time.Millisecond)
 }
 
-// Target is the time within which an answer is in time.
-func (rt Route) Target() time.Duration { return time.Duration(rt.TargetMs) * time.Millisecond }
+// LatencyTarget is the time within which an answer is in time.
+func (rt Route) LatencyTarget() time.Duration { return time.Duration(rt.TargetMs) * time.Millisecond }
 
 // GapTarget is the longest pause of a stream that is in time, 0 when none is set.
 func (rt Route) GapTarget() time.Duration { return time.Duration(rt.GapTargetMs) * time.Millisecond }
@@ -88,8 +88,8 @@
 	return rt.Kind == rpc.RouteKind_SAFE || rt.Kind == rpc.RouteKind_STREAM && rt.Resumable
 }
 
-// Service gives the service for a draw from 0 to 1, by the splits' weights.
-func (rt Route) Service(draw float64) ServiceID {
+// PickService gives the service for a draw from 0 to 1, by the splits' weights.
+func (rt Route) PickService(draw float64) ServiceID {
 	sum := int64(0)
 	for _, sp := range rt.Splits {
 		sum += sp.GetWeight()
--- a/policy/set.go
+++ b/policy/set.go
@@ -13,10 +13,10 @@
 // of the stored records alone, so daemons at one revision agree.
 type Set struct {
 	Revision store.Revision
-	// Floor is the revision from which on removed records are remembered: what
+	// SnapshotRevision is the revision from which on removed records are remembered: what
 	// was removed before is not there at all.
-	Floor   store.Revision
-	entries map[string]entry
+	SnapshotRevision store.Revision
+	entries          map[string]entry
 
 	Organisations Table[OrganisationID, Organisation]
 	Operators     Table[OperatorID, Operator]
@@ -47,21 +47,21 @@
 	faults finding.List
 }
 
-// Stored is one record as it lies in the store; Key is relative to the prefix
+// StoredRecord is one record as it lies in the store; Key is relative to the prefix
 // of all records.
-type Stored struct {
+type StoredRecord struct {
 	Key         string
 	Value       []byte
 	ModRevision store.Revision
 }
 
 // NewSet gives an empty set.
-func NewSet() *Set { return (&Set{}).With(0, nil) }
+func NewSet() *Set { return (&Set{}).WithChanges(0, nil) }
 
-// With gives the set after changes that brought it to a revision. Changes that
+// WithChanges gives the set after changes that brought it to a revision. Changes that
 // are not newer than what the set has are passed over.
-func (se *Set) With(revision store.Revision, changes []Stored) *Set {
-	next := &Set{Revision: max(se.Revision, revision), Floor: se.Floor, entries: make(map[string]entry, len(se.entries)+len(changes))}
+func (se *Set) WithChanges(revision store.Revision, changes []StoredRecord) *Set {
+	next := &Set{Revision: max(se.Revision, revision), SnapshotRevision: se.SnapshotRevision, entries: make(map[string]entry, len(se.entries)+len(changes))}
 	for key, en := range se.entries {
 		next.entries[key] = en
 	}
@@ -76,10 +76,10 @@
 	return next
 }
 
-// Replaced gives the set as a complete read at a revision found it: records
+// WithSnapshot gives the set as a complete read at a revision found it: records
 // that the read lacks are gone, unless they are newer.
-func (se *Set) Replaced(revision store.Revision, records []Stored) *Set {
-	next := &Set{Revision: revision, Floor: revision, entries: make(map[string]entry, len(records))}
+func (se *Set) WithSnapshot(revision store.Revision, records []StoredRecord) *Set {
+	next := &Set{Revision: revision, SnapshotRevision: revision, entries: make(map[string]entry, len(records))}
 	for key, en := range se.entries {
 		if en.stored.ModRevision > revision {
 			next.entries[key] = en
@@ -99,8 +99,8 @@
 }
 
 // Live lists the records that are not deleted, as they lie in the store.
-func (se *Set) Live() []Stored {
-	return slices.DeleteFunc(se.After(0), func(st Stored) bool {
+func (se *Set) Live() []StoredRecord {
+	return slices.DeleteFunc(se.ChangedAfter(0), func(st StoredRecord) bool {
 		re := se.entries[st.Key].record.Record
 		return re != nil && re.GetDeleted()
 	})
@@ -109,22 +109,22 @@
 // WithRecords gives the set as it would be with records written at the next
 // revision, to be validated before they are.
 func (se *Set) WithRecords(res []Record) *Set {
-	sts := make([]Stored, len(res))
+	sts := make([]StoredRecord, len(res))
 	for i, re := range res {
-		sts[i] = Stored{Key: re.Key(), Value: re.JSON, ModRevision: se.Revision + 1}
+		sts[i] = StoredRecord{Key: re.Key(), Value: re.JSON, ModRevision: se.Revision + 1}
 	}
-	return se.With(se.Revision+1, sts)
+	return se.WithChanges(se.Revision+1, sts)
 }
 
-// After lists the records changed after a revision, oldest first.
-func (se *Set) After(revision store.Revision) []Stored {
-	var out []Stored
+// ChangedAfter lists the records changed after a revision, oldest first.
+func (se *Set) ChangedAfter(revision store.Revision) []StoredRecord {
+	var out []StoredRecord
 	for key, en := range se.entries {
 		if en.stored.ModRevision > revision {
-			out = append(out, Stored{Key: key, Value: en.stored.Value, ModRevision: en.stored.ModRevision})
+			out = append(out, StoredRecord{Key: key, Value: en.stored.Value, ModRevision: en.stored.ModRevision})
 		}
 	}
-	slices.SortFunc(out, func(a, b Stored) int {
+	slices.SortFunc(out, func(a, b StoredRecord) int {
 		if a.ModRevision != b.ModRevision {
 			return int(a.ModRevision - b.ModRevision)
 		}
@@ -155,8 +155,8 @@
 	return out
 }
 
-// Holds tells whether a record's text is the one stored.
-func (se *Set) Holds(re Record) bool {
+// Contains tells whether a record's text is the one stored.
+func (se *Set) Contains(re Record) bool {
 	return bytes.Equal(se.entries[re.Key()].stored.Value, re.JSON)
 }
 
--- a/policy/replaced_test.go
+++ b/policy/snapshot_test.go
@@ -10,8 +10,8 @@
 	"tanagerpoint.example/tanager/store"
 )
 
-func rank(id string, order int, revision store.Revision) policy.Stored {
-	return policy.Stored{
+func rank(id string, order int, revision store.Revision) policy.StoredRecord {
+	return policy.StoredRecord{
 		Key: "rank/" + id, ModRevision: revision,
 		Value: fmt.Appendf(nil, `{"schema_version":2,"kind":"rank","id":%q,"spec":{"order":%d}}`, id, order),
 	}
@@ -19,10 +19,10 @@
 
 // TestCompleteReadTakesAwayWhatItLacks keeps only what is newer than the read.
 func TestCompleteReadTakesAwayWhatItLacks(t *testing.T) {
-	se := policy.NewSet().With(20, []policy.Stored{rank("gone", 1, 5), rank("kept", 2, 6), rank("newer", 3, 19)})
-	next := se.Replaced(15, []policy.Stored{rank("kept", 2, 6), rank("newer", 4, 12), rank("added", 5, 14)})
+	se := policy.NewSet().WithChanges(20, []policy.StoredRecord{rank("gone", 1, 5), rank("kept", 2, 6), rank("newer", 3, 19)})
+	next := se.WithSnapshot(15, []policy.StoredRecord{rank("kept", 2, 6), rank("newer", 4, 12), rank("added", 5, 14)})
 	qt.Assert(t, next.Revision, qt.Equals, store.Revision(15))
-	qt.Assert(t, next.Floor, qt.Equals, store.Revision(15))
+	qt.Assert(t, next.SnapshotRevision, qt.Equals, store.Revision(15))
 	_, ok := next.Ranks.ByID("gone")
 	qt.Assert(t, ok, qt.IsFalse)
 	for id, order := range map[policy.RankID]int64{"kept": 2, "newer": 3, "added": 5} {
--- a/proof/configuration_test.go
+++ b/proof/configuration_test.go
@@ -171,7 +171,7 @@
 			wg.Go(func() {
 				wr, cl := si.Writer(testsite.Host(fmt.Sprintf("operator-%d", n)))
 				defer cl.Close()
-				mine, err := re.With("spec.description", fmt.Sprintf("by %d", n))
+				mine, err := re.WithField("spec.description", fmt.Sprintf("by %d", n))
 				qt.Check(t, err, qt.IsNil)
 				_, err = wr.Apply(t.Context(), configuration.Request{
 					ChangedBy: fmt.Sprintf("operator-%d", n), Changes: []configuration.Change{{Record: mine, Base: base}},
--- a/proof/history_test.go
+++ b/proof/history_test.go
@@ -108,7 +108,7 @@
 	note(client, change{}, call, result{read: mo.Description})
 
 	in := change{base: mo.Description, next: fmt.Sprintf("%d-%d", client, n)}
-	mine, err := re.With("spec.description", in.next)
+	mine, err := re.WithField("spec.description", in.next)
 	qt.Check(t, err, qt.IsNil)
 	call = clock.Add(1)
 	rs, err := wr.Apply(t.Context(), configuration.Request{ChangedBy: "operator", Changes: []configuration.Change{{Record: mine, Base: base}}})
--- a/proof/steward_test.go
+++ b/proof/steward_test.go
@@ -187,7 +187,7 @@
 			se, _, err := wr.Load(t.Context())
 			qt.Assert(t, err, qt.IsNil)
 			re, base, _ := se.Record(policy.KindRollout, "r")
-			re, err = re.With("spec.share", share)
+			re, err = re.WithField("spec.share", share)
 			qt.Assert(t, err, qt.IsNil)
 			_, err = wr.Apply(t.Context(), configuration.Request{Changes: []configuration.Change{{Record: re, Base: base}}, Fence: fe})
 			return err
--- a/rating/rating.go
+++ b/rating/rating.go
@@ -41,22 +41,22 @@
 	Quality   float64 `json:"quality"`
 }
 
-// Service reaches the rating service.
-type Service struct {
+// Client reaches the rating service.
+type Client struct {
 	url    string
 	client *http.Client
 }
 
-// NewService gives a service at a base URL.
-func NewService(url string, ne network.Network) *Service {
-	return &Service{url: url, client: ne.Client(2)}
+// NewClient gives a service at a base URL.
+func NewClient(url string, ne network.Network) *Client {
+	return &Client{url: url, client: ne.Client(2)}
 }
 
 // Close ends the pooled connections.
-func (se *Service) Close() { se.client.CloseIdleConnections() }
+func (se *Client) Close() { se.client.CloseIdleConnections() }
 
 // Submit hands an answer in to be rated.
-func (se *Service) Submit(ctx context.Context, an Answer) error {
+func (se *Client) Submit(ctx context.Context, an Answer) error {
 	body, err := json.Marshal(an)
 	if err != nil {
 		return eris.Wrap(err, "Service.Submit")
@@ -65,8 +65,8 @@
 	return eris.Wrap(err, "Service.Submit")
 }
 
-// After lists the ratings after a sequence number.
-func (se *Service) After(ctx context.Context, sequence int64) ([]Rating, error) {
+// RatingsAfter lists the ratings after a sequence number.
+func (se *Client) RatingsAfter(ctx context.Context, sequence int64) ([]Rating, error) {
 	text, err := se.call(ctx, http.MethodGet, "/v1/ratings?after="+strconv.FormatInt(sequence, 10), nil)
 	if err != nil {
 		return nil, eris.Wrap(err, "Service.After")
@@ -75,7 +75,7 @@
 	return ras, eris.Wrap(json.Unmarshal(text, &ras), "Service.After")
 }
 
-func (se *Service) call(ctx context.Context, method, path string, body []byte) ([]byte, error) {
+func (se *Client) call(ctx context.Context, method, path string, body []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	rq, err := http.NewRequestWithContext(ctx, method, se.url+path, bytes.NewReader(body))
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -66,7 +66,7 @@
 	// stream is set for answers in events, with the first read already.
 	stream *eventReader
 	first  streamEvent
-	source *endpoint.CarriedAnswer
+	source *endpoint.ForwardAnswer
 }
 
 // attempt sends a request to one endpoint, and waits until the answer is whole
@@ -133,9 +133,9 @@
 		"send": ca.sends, "estimate_ms": at.expected().Milliseconds(), "pressure_ms": int64(float64(ca.pressure) * 1000),
 		"policy": ro.holder.Set().Revision,
 	})
-	source, err := ro.client.Carry(ctx, endpoint.CarriedCall{
+	source, err := ro.client.Forward(ctx, endpoint.ForwardCall{
 		URL: at.endpoint.Url, Method: rq.Method, Target: rq.Target, Host: rq.Host, Header: he, Body: rq.Body,
-		Repeatable: ca.route.Repeatable(), AnswerBy: at.answerBy(), Progress: at.progress(),
+		Repeatable: ca.route.Repeatable(), HeaderDeadline: at.answerBy(), Progress: at.progress(),
 	})
 	if err != nil {
 		fa := failureOf(err)
@@ -163,7 +163,7 @@
 	if ca.streams() {
 		factor = patienceFactor
 	}
-	by := at.sentAt.Add(max(time.Duration(factor*float64(ca.route.Target())), slowFactor*at.expected()))
+	by := at.sentAt.Add(max(time.Duration(factor*float64(ca.route.LatencyTarget())), slowFactor*at.expected()))
 	if by.After(ca.deadline) {
 		return ca.deadline
 	}
@@ -220,7 +220,7 @@
 	ev, err := an.stream.next()
 	if err != nil && !errors.Is(err, io.EOF) {
 		an.source.Close()
-		return nil, failureOf(an.source.Failed(err))
+		return nil, failureOf(an.source.ReadFailure(err))
 	}
 	an.first = ev
 	an.begin()
@@ -231,7 +231,7 @@
 	defer an.source.Close()
 	body, err := io.ReadAll(io.LimitReader(an.source, maxWhole+1))
 	if err != nil {
-		return nil, failureOf(an.source.Failed(err))
+		return nil, failureOf(an.source.ReadFailure(err))
 	}
 	if len(body) > maxWhole {
 		return nil, &failure{err: eris.Errorf("answer is larger than %d bytes", maxWhole)}
--- a/relay/fleet.go
+++ b/relay/fleet.go
@@ -123,7 +123,7 @@
 // returnAfter gives the time after which a request that found no room should
 // come back.
 func (fl *fleet) returnAfter(ca *call) time.Duration {
-	if ca.route.Target() < soon {
+	if ca.route.LatencyTarget() < soon {
 		return soon
 	}
 	return 2 * soon
--- a/relay/router.go
+++ b/relay/router.go
@@ -174,14 +174,14 @@
 	if !ok {
 		return nil, &Refusal{Status: http.StatusNotFound, Reason: ReasonNoRoute}
 	}
-	ca := &call{request: rq, route: rt, urgency: rt.Urgency, deadline: rt.Timeout(rq.Arrived)}
+	ca := &call{request: rq, route: rt, urgency: rt.Urgency, deadline: rt.Deadline(rq.Arrived)}
 	if !rq.Deadline.IsZero() && rq.Deadline.Before(ca.deadline) {
 		ca.deadline = rq.Deadline
 	}
 	if re := ca.identify(se); re != nil {
 		return nil, re
 	}
-	ca.service, ok = se.Services.ByID(rt.Service(rq.draw(string(rt.ID))))
+	ca.service, ok = se.Services.ByID(rt.PickService(rq.draw(string(rt.ID))))
 	if !ok {
 		return nil, notRun(ReasonNoEndpoint, rq.Arrived.Add(soon))
 	}
--- a/relay/run.go
+++ b/relay/run.go
@@ -50,7 +50,7 @@
 	}
 	key := paceKey{ca.service.ID, policy.ModelID(models[len(models)-1])}
 	work, _ := ro.paces.expect(key, ca.request.promptTokens(), 0)
-	left := time.Until(ca.request.Arrived.Add(ca.route.Target()))
+	left := time.Until(ca.request.Arrived.Add(ca.route.LatencyTarget()))
 	step := cascade.Step{
 		Confidence: an.head.Confidence, Work: float64(work), Pressure: float64(ca.pressure),
 		TimeLeft: left.Seconds(),
--- a/steward/orders.go
+++ b/steward/orders.go
@@ -73,7 +73,7 @@
 func (ot *ordersTask) inspect(ctx context.Context, ho lease.Hold, se *policy.Set, en policy.Endpoint) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	loaded, err := ot.daemon.client.Loaded(ctx, en.Url)
+	loaded, err := ot.daemon.client.LoadedModels(ctx, en.Url)
 	if err != nil {
 		return
 	}
@@ -95,7 +95,7 @@
 	if _, ok := da.leases.Holds(ho.Task); !ok {
 		return
 	}
-	err := da.client.Send(ctx, or)
+	err := da.client.SendOrder(ctx, or)
 	fields := event.Fields{"endpoint": en.ID, "model": or.Model, "load": or.Load, "fencing_token": or.FencingToken}
 	switch {
 	case err == nil:
--- a/steward/ratings.go
+++ b/steward/ratings.go
@@ -54,7 +54,7 @@
 	if !rt.loaded && !rt.load(ctx) {
 		return false
 	}
-	ras, err := rt.daemon.ratings.After(ctx, rt.sums.Sequence)
+	ras, err := rt.daemon.ratings.RatingsAfter(ctx, rt.sums.Sequence)
 	if err != nil {
 		rt.daemon.log.Debug(event.RatingsUnreachable, err, nil)
 		return false
--- a/steward/rollout.go
+++ b/steward/rollout.go
@@ -103,7 +103,7 @@
 		ve, _ := se.Versions.ByID(policy.VersionID(ro.FromVersion))
 		rt.judge = rollout.NewQuality(ve.Quality, ro.QualityMargin)
 	}
-	ras, err := rt.daemon.ratings.After(ctx, rt.sequence)
+	ras, err := rt.daemon.ratings.RatingsAfter(ctx, rt.sequence)
 	if err != nil {
 		rt.daemon.log.Debug(event.RatingsUnreachable, err, nil)
 		return ""
@@ -191,7 +191,7 @@
 			byKey[key] = i
 			out = append(out, configuration.Change{Record: re, Base: revision})
 		}
-		re, err := out[i].Record.With(fi.path, fi.value)
+		re, err := out[i].Record.WithField(fi.path, fi.value)
 		if err != nil {
 			return nil, err
 		}
--- a/steward/steward.go
+++ b/steward/steward.go
@@ -52,7 +52,7 @@
 	peers   *peer.Group
 	leases  *lease.Manager
 	client  *endpoint.Client
-	ratings *rating.Service
+	ratings *rating.Client
 	weights *weights
 	work    *tasks
 	servers []*http.Server
@@ -75,7 +75,7 @@
 	da.leases = lease.NewManager(da.keys.Root, da.store, string(da.peers.Incarnation()), ss.GetSteward().GetLease().AsDuration(), lo)
 	da.client = endpoint.NewClient(ne, orderTimeout)
 	if ur := ss.GetPlatform().GetRatingUrl(); ur != "" {
-		da.ratings = rating.NewService(ur, ne)
+		da.ratings = rating.NewClient(ur, ne)
 	}
 	da.weights = newWeights(ss.GetPlatform().GetWeightsUrl(), ss.GetSteward().GetLoadsPerMinute(), ne)
 	da.work = newTasks(da)
--- a/store/client.go
+++ b/store/client.go
@@ -111,21 +111,21 @@
 	return true, json.NewDecoder(io.LimitReader(rs.Body, maxAnswerBytes)).Decode(answer)
 }
 
-func (cl *Client) read(ctx context.Context, op string, rg WireRange) (Page, error) {
+func (cl *Client) read(ctx context.Context, op string, rg WireRange) (ReadResult, error) {
 	var rs WireRangeResponse
 	if _, err := cl.call(ctx, "/v3/kv/range", rg, &rs); err != nil {
-		return Page{}, eris.Wrapf(errors.Join(ErrUnavailable, err), "Client.%s", op)
+		return ReadResult{}, eris.Wrapf(errors.Join(ErrUnavailable, err), "Client.%s", op)
 	}
-	return Page{Revision: Revision(rs.Header.Revision), KeyValues: fromWire(rs.Kvs)}, nil
+	return ReadResult{Revision: Revision(rs.Header.Revision), KeyValues: fromWire(rs.Kvs)}, nil
 }
 
 // Range implements Store.
-func (cl *Client) Range(ctx context.Context, prefix Key) (Page, error) {
+func (cl *Client) Range(ctx context.Context, prefix Key) (ReadResult, error) {
 	return cl.read(ctx, "Range", WireRange{Key: []byte(prefix), RangeEnd: PrefixEnd(prefix)})
 }
 
 // Get implements Store.
-func (cl *Client) Get(ctx context.Context, key Key) (Page, error) {
+func (cl *Client) Get(ctx context.Context, key Key) (ReadResult, error) {
 	return cl.read(ctx, "Get", WireRange{Key: []byte(key)})
 }
 
@@ -150,12 +150,12 @@
 		return nil, err
 	}
 	if len(rs.Responses) != len(cos) {
-		return nil, eris.Wrapf(ErrUnknown, "Client.ApplyEach: %d answers to %d commits", len(rs.Responses), len(cos))
+		return nil, eris.Wrapf(ErrOutcomeUnknown, "Client.ApplyEach: %d answers to %d commits", len(rs.Responses), len(cos))
 	}
 	ous := make([]Outcome, len(cos))
 	for i, re := range rs.Responses {
 		if re.Txn == nil {
-			return nil, eris.Wrap(ErrUnknown, "Client.ApplyEach: answer without txn")
+			return nil, eris.Wrap(ErrOutcomeUnknown, "Client.ApplyEach: answer without txn")
 		}
 		ous[i] = outcomeOf(*re.Txn, rs.Header.Revision)
 	}
@@ -169,13 +169,13 @@
 	}
 	kind := ErrUnavailable
 	if sent {
-		kind = ErrUnknown
+		kind = ErrOutcomeUnknown
 	}
 	return eris.Wrapf(errors.Join(kind, err), "Client.%s", op)
 }
 
 // Watch implements Store.
-func (cl *Client) Watch(ctx context.Context, prefix Key, from Revision, report func(Notice)) error {
+func (cl *Client) Watch(ctx context.Context, prefix Key, from Revision, report func(WatchUpdate)) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	tm := time.AfterFunc(cl.opt.WatchProgress, cancel)
@@ -206,8 +206,8 @@
 	}
 }
 
-func noticeOf(re WireWatchResult) Notice {
-	no := Notice{Revision: Revision(re.Header.Revision)}
+func noticeOf(re WireWatchResult) WatchUpdate {
+	no := WatchUpdate{Revision: Revision(re.Header.Revision)}
 	for _, ev := range re.Events {
 		no.Changes = append(no.Changes, Change{KeyValue: fromWire([]WireKeyValue{ev.Kv})[0], Deleted: ev.Type == "DELETE"})
 	}
--- a/store/resolve.go
+++ b/store/resolve.go
@@ -35,12 +35,12 @@
 			}
 			return ou, nil
 		}
-		if !errors.Is(err, ErrUnknown) && !unknown {
+		if !errors.Is(err, ErrOutcomeUnknown) && !unknown {
 			return Outcome{}, err
 		}
 		unknown = true
 		if !worker.Sleep(ctx, bo.NextBackOff()) {
-			return Outcome{}, eris.Wrap(errors.Join(ErrUnknown, err), "ApplyResolved")
+			return Outcome{}, eris.Wrap(errors.Join(ErrOutcomeUnknown, err), "ApplyResolved")
 		}
 	}
 }
--- a/store/store.go
+++ b/store/store.go
@@ -26,8 +26,8 @@
 	ModRevision    Revision
 }
 
-// Page is what a read found at one revision.
-type Page struct {
+// ReadResult is what a read found at one revision.
+type ReadResult struct {
 	Revision  Revision
 	KeyValues []KeyValue
 }
@@ -66,15 +66,15 @@
 	Deleted  bool
 }
 
-// Notice is what a watch reports: changes up to Revision, or only that it is
+// WatchUpdate is what a watch reports: changes up to Revision, or only that it is
 // alive when Changes is empty.
-type Notice struct {
+type WatchUpdate struct {
 	Revision Revision
 	Changes  []Change
 }
 
-// ErrUnknown marks a commit whose answer was lost: it may have taken effect.
-var ErrUnknown = eris.New("store: outcome unknown")
+// ErrOutcomeUnknown marks a commit whose answer was lost: it may have taken effect.
+var ErrOutcomeUnknown = eris.New("store: outcome unknown")
 
 // ErrUnavailable marks a call that did not take effect.
 var ErrUnavailable = eris.New("store: unavailable")
@@ -86,16 +86,16 @@
 // commits, ErrUnknown, wrapped with their cause.
 type Store interface {
 	// Range reads all pairs under a prefix.
-	Range(ctx context.Context, prefix Key) (Page, error)
+	Range(ctx context.Context, prefix Key) (ReadResult, error)
 	// Get reads one pair; the page is empty when there is none.
-	Get(ctx context.Context, key Key) (Page, error)
+	Get(ctx context.Context, key Key) (ReadResult, error)
 	// Apply makes one commit.
 	Apply(ctx context.Context, co Commit) (Outcome, error)
 	// ApplyEach makes independent commits in one call.
 	ApplyEach(ctx context.Context, cos []Commit) ([]Outcome, error)
 	// Watch reports changes under a prefix from a revision on, until the
 	// connection ends, stays silent for too long, or ctx ends.
-	Watch(ctx context.Context, prefix Key, from Revision, report func(Notice)) error
+	Watch(ctx context.Context, prefix Key, from Revision, report func(WatchUpdate)) error
 	// Grant makes a lease.
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, error)
 	// KeepAlive renews a lease; false when it has lapsed.
