--- a/endpoint/endpoint.go
+++ b/endpoint/endpoint.go
@@ -115,7 +115,7 @@
 // everything else goes on a new connection.
 type Client struct {
 	pooled   *http.Client
-	fresh    *http.Client
+	unpooled *http.Client
 	progress time.Duration
 	dropped  atomic.Int64
 	resumed  atomic.Int64
@@ -123,7 +123,7 @@
 
 // NewClient gives a client; progress is the longest silence of a connection.
 func NewClient(ne network.Network, progress time.Duration) *Client {
-	return &Client{pooled: ne.Client(64), fresh: ne.FreshClient(), progress: progress}
+	return &Client{pooled: ne.Client(64), unpooled: ne.FreshClient(), progress: progress}
 }
 
 // Close ends the pooled connections.
@@ -189,8 +189,8 @@
 	}
 }
 
-// failed gives the failure for an error while reading.
-func (co *connection) failed(err error) *Failure {
+// readFailure gives the failure for an error while reading.
+func (co *connection) readFailure(err error) *Failure {
 	cause := CauseBroken
 	if co.silent.Load() {
 		cause = CauseSilent
@@ -198,8 +198,8 @@
 	return &Failure{Cause: cause, Sent: true, Err: err}
 }
 
-// refused reads an answer that is an error.
-func (co *connection) refused() *Failure {
+// readRefusal reads an answer that is an error.
+func (co *connection) readRefusal() *Failure {
 	defer co.close()
 	body, _ := io.ReadAll(io.LimitReader(co, maxErrorBytes))
 	return &Failure{Cause: CauseRefused, Sent: true, Status: co.response.StatusCode, Body: body}
--- a/endpoint/forward.go
+++ b/endpoint/forward.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, &Failure{Cause: CauseUnreachable, Err: err}
 	}
-	hc := cl.fresh
+	hc := cl.unpooled
 	if ca.Repeatable {
 		hc = cl.pooled
 	}
@@ -80,7 +80,7 @@
 func (an *ForwardAnswer) Read(buf []byte) (int, error) { return an.conn.Read(buf) }
 
 // ReadFailure gives the failure for an error of Read.
-func (an *ForwardAnswer) ReadFailure(err error) *Failure { return an.conn.failed(err) }
+func (an *ForwardAnswer) ReadFailure(err error) *Failure { return an.conn.readFailure(err) }
 
 // Close ends the answer. The connection is closed unless the body was read to
 // its end.
--- a/endpoint/order.go
+++ b/endpoint/order.go
@@ -50,7 +50,7 @@
 	rq.GetBody = nil
 	rq.Header.Set("Content-Type", "application/json")
 	rq.Header.Set(HeaderFencingToken, strconv.FormatInt(or.FencingToken, 10))
-	co, fa := cl.open(ctx, cl.fresh, rq, cl.progress)
+	co, fa := cl.open(ctx, cl.unpooled, rq, cl.progress)
 	if fa != nil {
 		return eris.Wrap(fa, "Client.Send")
 	}
@@ -59,7 +59,7 @@
 		return eris.Wrap(ErrFenced, "Client.Send")
 	}
 	if co.response.StatusCode >= http.StatusBadRequest {
-		return eris.Wrap(co.refused(), "Client.Send")
+		return eris.Wrap(co.readRefusal(), "Client.Send")
 	}
 	co.close()
 	return nil
@@ -74,17 +74,17 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "Client.Loaded")
 	}
-	co, fa := cl.open(ctx, cl.fresh, rq, cl.progress)
+	co, fa := cl.open(ctx, cl.unpooled, rq, cl.progress)
 	if fa != nil {
 		return nil, eris.Wrap(fa, "Client.Loaded")
 	}
 	if co.response.StatusCode != http.StatusOK {
-		return nil, eris.Wrap(co.refused(), "Client.Loaded")
+		return nil, eris.Wrap(co.readRefusal(), "Client.Loaded")
 	}
 	defer co.close()
 	text, err := io.ReadAll(io.LimitReader(co, maxModelsBytes))
 	if err != nil {
-		return nil, eris.Wrap(co.failed(err), "Client.Loaded")
+		return nil, eris.Wrap(co.readFailure(err), "Client.Loaded")
 	}
 	var out []string
 	for _, id := range gjson.GetBytes(text, "data.#.id").Array() {
--- a/endpoint/plain.go
+++ b/endpoint/plain.go
@@ -43,7 +43,7 @@
 	rq.GetBody = nil
 	rq.Header = ca.Header.Clone()
 	rq.Header.Set(HeaderAttempt, string(ca.Attempt))
-	hc := cl.fresh
+	hc := cl.unpooled
 	if ca.Repeatable {
 		hc = cl.pooled
 	}
@@ -58,7 +58,7 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(co, ca.MaxBytes+1))
 	if err != nil {
-		return PlainAnswer{}, co.failed(err)
+		return PlainAnswer{}, co.readFailure(err)
 	}
 	if int64(len(body)) > ca.MaxBytes {
 		return PlainAnswer{}, &Failure{Cause: CauseTooLarge, Sent: true, Err: eris.Errorf("answer is larger than %d bytes", ca.MaxBytes)}
--- a/endpoint/stream.go
+++ b/endpoint/stream.go
@@ -20,9 +20,9 @@
 	maxEventBytes = 1 << 20
 	// maxResumes bounds how often one stream is asked for again.
 	maxResumes = 3
-	// firstEventFactor times the progress limit is the longest wait for the
+	// firstEventTimeoutFactor times the progress limit is the longest wait for the
 	// first event, which takes in the engine's own queue.
-	firstEventFactor = 2
+	firstEventTimeoutFactor = 2
 )
 
 // errIncomplete marks a stream that ended without its last event.
@@ -53,16 +53,16 @@
 
 // Stream is an answer being read. It is used by one goroutine.
 type Stream struct {
-	client  *Client
-	call    EngineCall
-	ctx     context.Context
-	conn    *connection
-	reader  *bufio.Reader
-	last    int64
-	resumes int
-	load    Load
-	wantID  string
-	ended   bool
+	client      *Client
+	call        EngineCall
+	ctx         context.Context
+	conn        *connection
+	reader      *bufio.Reader
+	lastEventID int64
+	resumes     int
+	load        Load
+	chunkID     string
+	ended       bool
 }
 
 // Chat sends a request to an engine. The error is a *Failure.
@@ -76,9 +76,9 @@
 	rq.Header.Set(HeaderAttempt, string(ca.Attempt))
 	hc := cl.pooled
 	if ca.NewConnection {
-		hc = cl.fresh
+		hc = cl.unpooled
 	}
-	st := &Stream{client: cl, call: ca, ctx: ctx, wantID: "chatcmpl-" + string(ca.Attempt), last: -1}
+	st := &Stream{client: cl, call: ca, ctx: ctx, chunkID: "chatcmpl-" + string(ca.Attempt), lastEventID: -1}
 	if fa := st.connect(hc, rq); fa != nil {
 		return nil, fa
 	}
@@ -86,12 +86,12 @@
 }
 
 func (st *Stream) connect(hc *http.Client, rq *http.Request) *Failure {
-	co, fa := st.client.open(st.ctx, hc, rq, firstEventFactor*st.client.progress)
+	co, fa := st.client.open(st.ctx, hc, rq, firstEventTimeoutFactor*st.client.progress)
 	if fa != nil {
 		return fa
 	}
 	if co.response.StatusCode != http.StatusOK {
-		return co.refused()
+		return co.readRefusal()
 	}
 	if id := co.response.Header.Get(HeaderAttempt); st.call.EchoesID && id != "" && id != string(st.call.Attempt) {
 		co.close()
@@ -116,20 +116,20 @@
 // the last chunk read.
 func (st *Stream) Next() (Event, error) {
 	for {
-		ev, err := st.read()
-		if err == nil && ev.ID >= 0 && ev.ID <= st.last {
+		ev, err := st.readEvent()
+		if err == nil && ev.ID >= 0 && ev.ID <= st.lastEventID {
 			continue
 		}
 		if err == nil && bytes.Equal(ev.Data, doneEvent) {
 			st.ended = true
 			return Event{}, io.EOF
 		}
-		if err == nil && st.mine(ev.Data) {
-			st.last = max(st.last, ev.ID)
+		if err == nil && st.isOwnChunk(ev.Data) {
+			st.lastEventID = max(st.lastEventID, ev.ID)
 			return ev, nil
 		}
-		fa := st.failed(err)
-		if st.ctx.Err() != nil || st.last < 0 {
+		fa := st.failure(err)
+		if st.ctx.Err() != nil || st.lastEventID < 0 {
 			return Event{}, fa
 		}
 		if !st.resume() {
@@ -138,23 +138,23 @@
 	}
 }
 
-// failed gives the failure for an error while reading, or for a chunk of
+// failure gives the failure for an error while reading, or for a chunk of
 // another request, which is dropped.
-func (st *Stream) failed(err error) *Failure {
+func (st *Stream) failure(err error) *Failure {
 	if err != nil {
-		return st.conn.failed(err)
+		return st.conn.readFailure(err)
 	}
 	st.client.dropped.Add(1)
 	return &Failure{Cause: CauseMismatched, Sent: true, Err: errMismatched}
 }
 
-// mine tells whether a chunk belongs to this attempt.
-func (st *Stream) mine(data []byte) bool {
+// isOwnChunk tells whether a chunk belongs to this attempt.
+func (st *Stream) isOwnChunk(data []byte) bool {
 	if !st.call.EchoesID {
 		return true
 	}
 	id := gjson.GetBytes(data, "id")
-	return !id.Exists() || id.Str == st.wantID
+	return !id.Exists() || id.Str == st.chunkID
 }
 
 // resume asks the engine for the rest of the stream on a new connection.
@@ -167,9 +167,9 @@
 			return false
 		}
 		rq.Header.Set("Accept", "text/event-stream")
-		rq.Header.Set("Last-Event-ID", strconv.FormatInt(st.last, 10))
+		rq.Header.Set("Last-Event-ID", strconv.FormatInt(st.lastEventID, 10))
 		rq.Header.Set(HeaderAttempt, string(st.call.Attempt))
-		fa := st.connect(st.client.fresh, rq)
+		fa := st.connect(st.client.unpooled, rq)
 		if fa == nil {
 			st.client.resumed.Add(1)
 			return true
@@ -181,13 +181,13 @@
 	return false
 }
 
-// read reads one event from the connection. Its id is -1 when it has none.
-func (st *Stream) read() (Event, error) {
+// readEvent reads one event from the connection. Its id is -1 when it has none.
+func (st *Stream) readEvent() (Event, error) {
 	ev := Event{ID: -1}
 	for {
 		line, err := st.reader.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) {
-			line, err = st.longLine(line)
+			line, err = st.readLongLine(line)
 		}
 		if err != nil {
 			if errors.Is(err, io.EOF) {
@@ -202,7 +202,7 @@
 		case bytes.HasPrefix(line, []byte("data:")):
 			ev.Data = append(ev.Data, bytes.TrimPrefix(line[len("data:"):], []byte(" "))...)
 		case bytes.HasPrefix(line, []byte("id:")):
-			ev.ID = parseID(line[len("id:"):])
+			ev.ID = parseEventID(line[len("id:"):])
 		}
 		if len(ev.Data) > maxEventBytes {
 			return Event{}, eris.Errorf("event is larger than %d bytes", maxEventBytes)
@@ -210,7 +210,7 @@
 	}
 }
 
-func (st *Stream) longLine(start []byte) ([]byte, error) {
+func (st *Stream) readLongLine(start []byte) ([]byte, error) {
 	line := bytes.Clone(start)
 	for {
 		more, err := st.reader.ReadSlice('\n')
@@ -224,7 +224,7 @@
 	}
 }
 
-func parseID(text []byte) int64 {
+func parseEventID(text []byte) int64 {
 	id, err := strconv.ParseInt(string(bytes.TrimSpace(text)), 10, 64)
 	if err != nil {
 		return -1
@@ -244,7 +244,7 @@
 	if err != nil {
 		return
 	}
-	rs, err := st.client.fresh.Do(rq)
+	rs, err := st.client.unpooled.Do(rq)
 	if err == nil {
 		_ = rs.Body.Close()
 	}
@@ -252,5 +252,5 @@
 
 // FirstEventDeadline is when an attempt sent at a time counts as silent.
 func (cl *Client) FirstEventDeadline(sent time.Time) time.Time {
-	return sent.Add(firstEventFactor * cl.progress)
+	return sent.Add(firstEventTimeoutFactor * cl.progress)
 }
--- a/endpoint/stream_test.go
+++ b/endpoint/stream_test.go
@@ -16,8 +16,8 @@
 	"tanagerpoint.example/tanager/network"
 )
 
-// read reads a whole answer from a server that gives text.
-func read(t testing.TB, text string, echoes bool) (string, error) {
+// readAnswer reads a whole answer from a server that gives text.
+func readAnswer(t testing.TB, text string, echoes bool) (string, error) {
 	sv := httptest.NewServer(http.HandlerFunc(func(wr http.ResponseWriter, rq *http.Request) {
 		if rq.Method != http.MethodPost {
 			http.NotFound(wr, rq)
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestStreams(t *testing.T) {
+func TestStreamParsing(t *testing.T) {
 	for _, ca := range []struct {
 		name, text, want string
 		echoes, whole    bool
@@ -57,15 +57,15 @@
 		{"another request's", "data: {\"id\":\"chatcmpl-b\"}\n\ndata: [DONE]\n\n", "", true, false},
 		{"its own", "data: {\"id\":\"chatcmpl-a\"}\n\ndata: [DONE]\n\n", "{\"id\":\"chatcmpl-a\"}|", true, true},
 	} {
-		got, err := read(t, ca.text, ca.echoes)
+		got, err := readAnswer(t, ca.text, ca.echoes)
 		qt.Assert(t, got, qt.Equals, ca.want, qt.Commentf("%s", ca.name))
 		qt.Assert(t, errors.Is(err, io.EOF), qt.Equals, ca.whole, qt.Commentf("%s: %v", ca.name, err))
 	}
 }
 
-// TestUnrepeatableCallIsNotReplayedByTheLibrary closes a pooled connection
+// TestUnrepeatableCallIsNotRetriedByNetHTTP closes a pooled connection
 // under a call that carries an Idempotency-Key, which net/http would send again.
-func TestUnrepeatableCallIsNotReplayedByTheLibrary(t *testing.T) {
+func TestUnrepeatableCallIsNotRetriedByNetHTTP(t *testing.T) {
 	var calls atomic.Int64
 	sv := httptest.NewServer(http.HandlerFunc(func(wr http.ResponseWriter, rq *http.Request) {
 		_, _ = io.Copy(io.Discard, rq.Body)
@@ -90,7 +90,7 @@
 	qt.Assert(t, calls.Load(), qt.Equals, int64(2))
 }
 
-func TestUnreachableEndpointWasNotSentTo(t *testing.T) {
+func TestUnreachableEndpointIsReportedAsNotSent(t *testing.T) {
 	cl := endpoint.NewClient(network.Real(), time.Second)
 	defer cl.Close()
 	_, err := cl.Chat(t.Context(), endpoint.EngineCall{URL: "http://127.0.0.1:1", Attempt: "a", Body: []byte("{}")})
@@ -104,6 +104,6 @@
 	f.Add("id: 0\ndata: {\"id\":\"chatcmpl-a\"}\n\ndata: [DONE]\n\n")
 	f.Add("data:\n\ndata: \n\nid: -5\nid: x\r\ndata: [DONE]")
 	f.Fuzz(func(t *testing.T, text string) {
-		_, _ = read(t, text, true)
+		_, _ = readAnswer(t, text, true)
 	})
 }
--- a/policy/cascade.go
+++ b/policy/cascade.go
@@ -16,7 +16,7 @@
 
 // Validate finds mistakes.
 func (ca Cascade) Validate(li *finding.List, pl finding.Place, se *Set) {
-	at := placeIn(pl)
+	at := specPlace(pl)
 	if len(ca.Models) == 0 {
 		li.Add(at("models"), "names no model")
 	}
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -33,7 +33,7 @@
 
 // Validate finds mistakes.
 func (en Endpoint) Validate(li *finding.List, pl finding.Place, se *Set) {
-	at := placeIn(pl)
+	at := specPlace(pl)
 	ur, err := url.Parse(en.Url)
 	if err != nil || ur.Scheme != "http" && ur.Scheme != "https" || ur.Host == "" {
 		li.Add(at("url"), "%q is not an http or https URL", en.Url)
@@ -82,10 +82,10 @@
 // Validate finds mistakes.
 func (sv Service) Validate(li *finding.List, pl finding.Place, _ *Set) {
 	if sv.TimeoutMs < 0 {
-		li.Add(placeIn(pl)("timeout_ms"), "%d is negative", sv.TimeoutMs)
+		li.Add(specPlace(pl)("timeout_ms"), "%d is negative", sv.TimeoutMs)
 	}
 	if sv.CostPerCall < 0 {
-		li.Add(placeIn(pl)("cost_per_call"), "%d is negative", sv.CostPerCall)
+		li.Add(specPlace(pl)("cost_per_call"), "%d is negative", sv.CostPerCall)
 	}
 }
 
--- a/policy/file.go
+++ b/policy/file.go
@@ -65,7 +65,7 @@
 		base := store.Revision(it.Get(revisionField).Int())
 		re, err := ParseRecord([]byte(it.Raw))
 		if err == nil {
-			re, err = re.without(revisionField)
+			re, err = re.withoutField(revisionField)
 		}
 		if err != nil {
 			li.Add(finding.Place{File: file, Section: it.Get("kind").Str + "/" + it.Get("id").Str}, "record %d: %v", i+1, err)
@@ -86,18 +86,18 @@
 	}
 	place := func(key string) finding.Place { return finding.Place{File: files[key], Section: key} }
 	next := se.WithRecords(res)
-	li := next.unparsed(files)
+	li := next.unparsedFindings(files)
 	return append(li, next.Validate(place)...)
 }
 
-// unparsed finds the records whose envelopes cannot be read at all, which have
+// unparsedFindings finds the records whose envelopes cannot be read at all, which have
 // no place among the validated ones.
-func (se *Set) unparsed(files map[string]string) finding.List {
+func (se *Set) unparsedFindings(files map[string]string) finding.List {
 	var li finding.List
 	for key, file := range files {
-		en := se.entries[key]
-		if en.record.Record == nil {
-			for _, fi := range en.faults {
+		pr := se.byKey[key]
+		if pr.record.Record == nil {
+			for _, fi := range pr.findings {
 				li.Add(finding.Place{File: file, Section: key, Key: fi.Place.Key}, "%s", fi.Message)
 			}
 		}
--- a/policy/limits.go
+++ b/policy/limits.go
@@ -49,7 +49,7 @@
 		{"header_timeout_ms", lm.HeaderTimeoutMs}, {"idle_timeout_ms", lm.IdleTimeoutMs},
 	} {
 		if fi.value < 0 {
-			li.Add(placeIn(pl)(fi.key), "%d is negative", fi.value)
+			li.Add(specPlace(pl)(fi.key), "%d is negative", fi.value)
 		}
 	}
 }
--- a/policy/organisation.go
+++ b/policy/organisation.go
@@ -9,8 +9,8 @@
 	"tanagerpoint.example/tanager/rpc"
 )
 
-// anyID in a list of allowed ids allows every one.
-const anyID = "*"
+// wildcardID in a list of allowed ids allows every one.
+const wildcardID = "*"
 
 // Organisation is a customer whose callers use the system.
 type Organisation struct {
@@ -24,26 +24,26 @@
 		or.Share = 1
 	}
 	if len(or.AllowedRanks) == 0 {
-		or.AllowedRanks = []string{anyID}
+		or.AllowedRanks = []string{wildcardID}
 	}
 }
 
 // Validate finds mistakes; se holds the records that it may refer to.
 func (or Organisation) Validate(li *finding.List, pl finding.Place, se *Set) {
-	at := placeIn(pl)
+	at := specPlace(pl)
 	validateKeyHashes(li, at("key_hashes"), or.KeyHashes)
 	for _, id := range or.AllowedModels {
-		if id != anyID && !se.isCallable(id) {
+		if id != wildcardID && !se.isCallable(id) {
 			li.Add(at("allowed_models"), "no model, version or cascade %q", id)
 		}
 	}
 	for _, id := range or.AllowedServices {
-		if _, ok := se.Services.ByID(ServiceID(id)); id != anyID && !ok {
+		if _, ok := se.Services.ByID(ServiceID(id)); id != wildcardID && !ok {
 			li.Add(at("allowed_services"), "no service %q", id)
 		}
 	}
 	for _, id := range or.AllowedRanks {
-		if _, ok := se.Ranks.ByID(RankID(id)); id != anyID && !ok {
+		if _, ok := se.Ranks.ByID(RankID(id)); id != wildcardID && !ok {
 			li.Add(at("allowed_ranks"), "no rank %q", id)
 		}
 	}
@@ -77,7 +77,7 @@
 }
 
 func allows(ids []string, id string) bool {
-	return slices.Contains(ids, id) || slices.Contains(ids, anyID)
+	return slices.Contains(ids, id) || slices.Contains(ids, wildcardID)
 }
 
 // Operator may use the admin listener.
@@ -91,7 +91,7 @@
 
 // Validate finds mistakes.
 func (op Operator) Validate(li *finding.List, pl finding.Place, _ *Set) {
-	validateKeyHashes(li, placeIn(pl)("key_hashes"), op.KeyHashes)
+	validateKeyHashes(li, specPlace(pl)("key_hashes"), op.KeyHashes)
 }
 
 // HashKey gives the form in which a caller's or operator's key is stored.
@@ -108,7 +108,7 @@
 	}
 }
 
-func placeIn(pl finding.Place) func(key string) finding.Place {
+func specPlace(pl finding.Place) func(key string) finding.Place {
 	return func(key string) finding.Place {
 		pl.Key = "spec." + key
 		return pl
--- a/policy/parse.go
+++ b/policy/parse.go
@@ -6,38 +6,38 @@
 	"tanagerpoint.example/tanager/store"
 )
 
-// parseEntry reads a stored record. One that cannot be used has faults and no
+// parseStored reads a stored record. One that cannot be used has faults and no
 // value: it counts as absent, which refuses work and never allows more.
-func parseEntry(st StoredRecord) entry {
-	en := entry{stored: store.KeyValue{Key: store.Key(st.Key), Value: st.Value, ModRevision: st.ModRevision}}
+func parseStored(st StoredRecord) parsedRecord {
+	pr := parsedRecord{stored: store.KeyValue{Key: store.Key(st.Key), Value: st.Value, ModRevision: st.ModRevision}}
 	pl := finding.Place{Section: st.Key}
 	re, err := ParseRecord(st.Value)
 	if err != nil {
-		en.faults.Add(pl, "%v", err)
-		return en
+		pr.findings.Add(pl, "%v", err)
+		return pr
 	}
-	en.record = re
+	pr.record = re
 	if re.GetDeleted() {
-		return en
+		return pr
 	}
 	if re.Key() != st.Key {
-		en.faults.Add(pl, "record calls itself %q", re.Key())
-		return en
+		pr.findings.Add(pl, "record calls itself %q", re.Key())
+		return pr
 	}
-	if !re.checkEnvelope(&en.faults, pl) {
-		return en
+	if !re.validateEnvelope(&pr.findings, pl) {
+		return pr
 	}
-	ms := re.parseSpec(&en.faults, pl)
+	ms := re.parseSpec(&pr.findings, pl)
 	if ms == nil {
-		return en
+		return pr
 	}
-	va := typed(re, ms)
+	va := newTyped(re, ms)
 	va.Defaults()
-	en.value = va
-	return en
+	pr.value = va
+	return pr
 }
 
-func typed(re Record, ms any) validator {
+func newTyped(re Record, ms any) validator {
 	id := re.GetId()
 	switch sp := ms.(type) {
 	case *rpc.Organisation:
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -88,13 +88,13 @@
 // Len counts the records.
 func (ta *Table[K, V]) Len() int { return len(ta.ids) }
 
-func (ta *Table[K, V]) put(id K, va V) {
+func (ta *Table[K, V]) add(id K, va V) {
 	if ta.byID == nil {
 		ta.byID = map[K]V{}
 	}
 	ta.byID[id] = va
 }
 
-func (ta *Table[K, V]) seal() {
+func (ta *Table[K, V]) sortIDs() {
 	ta.ids = slices.Sorted(maps.Keys(ta.byID))
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestSchemaVersionsStandSideBySide(t *testing.T) {
+func TestSchemaVersionsCoexist(t *testing.T) {
 	se := policy.NewSet().WithRecords([]policy.Record{
 		record(t, `{"schema_version":2,"kind":"model","id":"m","spec":{"stable_version":"m-1"}}`),
 		record(t, `{"schema_version":1,"kind":"version","id":"m-1","spec":{"model":"m","cost_per_1k_tokens":0.004}}`),
@@ -62,9 +62,9 @@
 	qt.Assert(t, string(re.JSON), qt.Contains, `"later":{"a":1}`)
 }
 
-// TestSetIsAFunctionOfItsRecords merges the same changes in any order, with
+// TestSetIsIndependentOfChangeOrder merges the same changes in any order, with
 // repeats, and comes to the same set.
-func TestSetIsAFunctionOfItsRecords(t *testing.T) {
+func TestSetIsIndependentOfChangeOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(rt, "changes")
 		var all []policy.StoredRecord
--- a/policy/rank.go
+++ b/policy/rank.go
@@ -30,7 +30,7 @@
 
 // Validate finds mistakes.
 func (ra Rank) Validate(li *finding.List, pl finding.Place, se *Set) {
-	at := placeIn(pl)
+	at := specPlace(pl)
 	if ra.DeadlineMs < 0 {
 		li.Add(at("deadline_ms"), "%d is negative", ra.DeadlineMs)
 	}
--- a/policy/record.go
+++ b/policy/record.go
@@ -53,16 +53,16 @@
 	if err != nil {
 		return Record{}, eris.Wrap(err, "policy.NewRecord")
 	}
-	return newRecord(recordText{SchemaVersion: SchemaVersion, Kind: ki, ID: id, Spec: text})
+	return newRecord(recordJSON{SchemaVersion: SchemaVersion, Kind: ki, ID: id, Spec: text})
 }
 
 // NewTombstone gives the record that stands in place of a deleted one.
 func NewTombstone(ki Kind, id string) (Record, error) {
-	return newRecord(recordText{SchemaVersion: SchemaVersion, Kind: ki, ID: id, Deleted: true})
+	return newRecord(recordJSON{SchemaVersion: SchemaVersion, Kind: ki, ID: id, Deleted: true})
 }
 
-// recordText is the text of a record that is made here.
-type recordText struct {
+// recordJSON is the text of a record that is made here.
+type recordJSON struct {
 	SchemaVersion int64           `json:"schema_version"`
 	Kind          Kind            `json:"kind"`
 	ID            string          `json:"id"`
@@ -70,7 +70,7 @@
 	Spec          json.RawMessage `json:"spec,omitempty"`
 }
 
-func newRecord(rt recordText) (Record, error) {
+func newRecord(rt recordJSON) (Record, error) {
 	// Marshal takes out the spaces of protojson, which differ from build to build.
 	text, err := json.Marshal(rt)
 	if err != nil {
@@ -129,10 +129,10 @@
 
 // SameContent tells whether two records differ in nothing but their stamps.
 func (re Record) SameContent(other Record) bool {
-	return bytes.Equal(re.content(), other.content())
+	return bytes.Equal(re.unstampedJSON(), other.unstampedJSON())
 }
 
-func (re Record) content() []byte {
+func (re Record) unstampedJSON() []byte {
 	text := re.JSON
 	for _, path := range []string{"changed_by", "operation_id", "changed_at_ms", "fencing_token"} {
 		text, _ = sjson.DeleteBytes(bytes.Clone(text), path)
@@ -146,8 +146,8 @@
 	return out
 }
 
-// checkEnvelope finds mistakes in what every record has.
-func (re Record) checkEnvelope(li *finding.List, pl finding.Place) bool {
+// validateEnvelope finds mistakes in what every record has.
+func (re Record) validateEnvelope(li *finding.List, pl finding.Place) bool {
 	before := len(*li)
 	at := func(key string) finding.Place { pl.Key = key; return pl }
 	if re.GetSchemaVersion() < 1 {
@@ -156,7 +156,7 @@
 	if re.GetMinReader() > SchemaVersion {
 		li.Add(at("min_reader"), "needs schema version %d, this program knows %d", re.GetMinReader(), SchemaVersion)
 	}
-	if specOf(Kind(re.GetKind())) == nil {
+	if newSpec(Kind(re.GetKind())) == nil {
 		li.Add(at("kind"), "unknown kind %q", re.GetKind())
 	}
 	if !idPattern.MatchString(re.GetId()) {
@@ -165,7 +165,7 @@
 	return len(*li) == before
 }
 
-func specOf(ki Kind) proto.Message {
+func newSpec(ki Kind) proto.Message {
 	switch ki {
 	case KindOrganisation:
 		return &rpc.Organisation{}
@@ -196,7 +196,7 @@
 // parseSpec reads the spec. Fields unknown to this program are findings for a
 // record of a schema version that it knows, and are passed over in a later one.
 func (re Record) parseSpec(li *finding.List, pl finding.Place) proto.Message {
-	ms := specOf(Kind(re.GetKind()))
+	ms := newSpec(Kind(re.GetKind()))
 	op := protojson.UnmarshalOptions{DiscardUnknown: re.GetSchemaVersion() > SchemaVersion}
 	if err := op.Unmarshal(re.Spec(), ms); err != nil {
 		text := strings.ReplaceAll(err.Error(), "\u00a0", " ")
@@ -206,8 +206,8 @@
 	return ms
 }
 
-// without gives a copy that lacks a field.
-func (re Record) without(path string) (Record, error) {
+// withoutField gives a copy that lacks a field.
+func (re Record) withoutField(path string) (Record, error) {
 	text, err := sjson.DeleteBytes(bytes.Clone(re.JSON), path)
 	if err != nil {
 		return Record{}, eris.Wrap(err, "Record.without")
--- a/policy/rollout.go
+++ b/policy/rollout.go
@@ -36,7 +36,7 @@
 
 // Validate finds mistakes.
 func (ro Rollout) Validate(li *finding.List, pl finding.Place, se *Set) {
-	at := placeIn(pl)
+	at := specPlace(pl)
 	if ro.Service != "" {
 		ro.validateRelease(li, pl, se)
 		return
@@ -77,7 +77,7 @@
 
 // validateRelease finds mistakes in a roll-out of a service's release.
 func (ro Rollout) validateRelease(li *finding.List, pl finding.Place, se *Set) {
-	at := placeIn(pl)
+	at := specPlace(pl)
 	if _, ok := se.Services.ByID(ServiceID(ro.Service)); !ok {
 		li.Add(at("service"), "no service %q", ro.Service)
 	}
--- a/policy/route.go
+++ b/policy/route.go
@@ -40,7 +40,7 @@
 
 // Validate finds mistakes.
 func (rt Route) Validate(li *finding.List, pl finding.Place, se *Set) {
-	at := placeIn(pl)
+	at := specPlace(pl)
 	if rt.Host == "" {
 		li.Add(at("host"), "missing")
 	}
--- a/policy/set.go
+++ b/policy/set.go
@@ -16,7 +16,7 @@
 	// SnapshotRevision is the revision from which on removed records are remembered: what
 	// was removed before is not there at all.
 	SnapshotRevision store.Revision
-	entries          map[string]entry
+	byKey            map[string]parsedRecord
 
 	Organisations Table[OrganisationID, Organisation]
 	Operators     Table[OperatorID, Operator]
@@ -39,12 +39,12 @@
 	byHost map[string][]Route
 }
 
-// entry is one record as stored, with what it parsed to.
-type entry struct {
-	stored store.KeyValue
-	record Record
-	value  any
-	faults finding.List
+// parsedRecord is one record as stored, with what it parsed to.
+type parsedRecord struct {
+	stored   store.KeyValue
+	record   Record
+	value    any
+	findings finding.List
 }
 
 // StoredRecord is one record as it lies in the store; Key is relative to the prefix
@@ -61,47 +61,47 @@
 // WithChanges gives the set after changes that brought it to a revision. Changes that
 // are not newer than what the set has are passed over.
 func (se *Set) WithChanges(revision store.Revision, changes []StoredRecord) *Set {
-	next := &Set{Revision: max(se.Revision, revision), SnapshotRevision: se.SnapshotRevision, entries: make(map[string]entry, len(se.entries)+len(changes))}
-	for key, en := range se.entries {
-		next.entries[key] = en
+	next := &Set{Revision: max(se.Revision, revision), SnapshotRevision: se.SnapshotRevision, byKey: make(map[string]parsedRecord, len(se.byKey)+len(changes))}
+	for key, pr := range se.byKey {
+		next.byKey[key] = pr
 	}
 	for _, st := range changes {
-		if old, ok := next.entries[st.Key]; ok && old.stored.ModRevision >= st.ModRevision {
+		if old, ok := next.byKey[st.Key]; ok && old.stored.ModRevision >= st.ModRevision {
 			continue
 		}
-		next.entries[st.Key] = parseEntry(st)
+		next.byKey[st.Key] = parseStored(st)
 		next.Revision = max(next.Revision, st.ModRevision)
 	}
-	next.fill()
+	next.buildIndexes()
 	return next
 }
 
 // WithSnapshot gives the set as a complete read at a revision found it: records
 // that the read lacks are gone, unless they are newer.
 func (se *Set) WithSnapshot(revision store.Revision, records []StoredRecord) *Set {
-	next := &Set{Revision: revision, SnapshotRevision: revision, entries: make(map[string]entry, len(records))}
-	for key, en := range se.entries {
-		if en.stored.ModRevision > revision {
-			next.entries[key] = en
+	next := &Set{Revision: revision, SnapshotRevision: revision, byKey: make(map[string]parsedRecord, len(records))}
+	for key, pr := range se.byKey {
+		if pr.stored.ModRevision > revision {
+			next.byKey[key] = pr
 		}
 	}
 	for _, st := range records {
-		old, ok := se.entries[st.Key]
+		old, ok := se.byKey[st.Key]
 		switch {
 		case ok && (old.stored.ModRevision > revision || bytes.Equal(old.stored.Value, st.Value)):
-			next.entries[st.Key] = old
+			next.byKey[st.Key] = old
 		default:
-			next.entries[st.Key] = parseEntry(st)
+			next.byKey[st.Key] = parseStored(st)
 		}
 	}
-	next.fill()
+	next.buildIndexes()
 	return next
 }
 
 // Live lists the records that are not deleted, as they lie in the store.
 func (se *Set) Live() []StoredRecord {
 	return slices.DeleteFunc(se.ChangedAfter(0), func(st StoredRecord) bool {
-		re := se.entries[st.Key].record.Record
+		re := se.byKey[st.Key].record.Record
 		return re != nil && re.GetDeleted()
 	})
 }
@@ -119,9 +119,9 @@
 // ChangedAfter lists the records changed after a revision, oldest first.
 func (se *Set) ChangedAfter(revision store.Revision) []StoredRecord {
 	var out []StoredRecord
-	for key, en := range se.entries {
-		if en.stored.ModRevision > revision {
-			out = append(out, StoredRecord{Key: key, Value: en.stored.Value, ModRevision: en.stored.ModRevision})
+	for key, pr := range se.byKey {
+		if pr.stored.ModRevision > revision {
+			out = append(out, StoredRecord{Key: key, Value: pr.stored.Value, ModRevision: pr.stored.ModRevision})
 		}
 	}
 	slices.SortFunc(out, func(a, b StoredRecord) int {
@@ -136,19 +136,19 @@
 // Record gives a record that is not deleted, with the revision of its last
 // change.
 func (se *Set) Record(ki Kind, id string) (Record, store.Revision, bool) {
-	en, ok := se.entries[string(ki)+"/"+id]
-	if !ok || en.record.Record == nil || en.record.GetDeleted() {
-		return Record{}, en.stored.ModRevision, false
+	pr, ok := se.byKey[string(ki)+"/"+id]
+	if !ok || pr.record.Record == nil || pr.record.GetDeleted() {
+		return Record{}, pr.stored.ModRevision, false
 	}
-	return en.record, en.stored.ModRevision, true
+	return pr.record, pr.stored.ModRevision, true
 }
 
 // Records lists the records that are not deleted, by key.
 func (se *Set) Records() []Record {
 	var out []Record
-	for _, en := range se.entries {
-		if en.record.Record != nil && !en.record.GetDeleted() {
-			out = append(out, en.record)
+	for _, pr := range se.byKey {
+		if pr.record.Record != nil && !pr.record.GetDeleted() {
+			out = append(out, pr.record)
 		}
 	}
 	slices.SortFunc(out, func(a, b Record) int { return strings.Compare(a.Key(), b.Key()) })
@@ -157,15 +157,15 @@
 
 // Contains tells whether a record's text is the one stored.
 func (se *Set) Contains(re Record) bool {
-	return bytes.Equal(se.entries[re.Key()].stored.Value, re.JSON)
+	return bytes.Equal(se.byKey[re.Key()].stored.Value, re.JSON)
 }
 
 // IDs lists the records of a kind that are not deleted, usable or not.
 func (se *Set) IDs(ki Kind) []string {
 	var out []string
-	for key, en := range se.entries {
+	for key, pr := range se.byKey {
 		id, ok := strings.CutPrefix(key, string(ki)+"/")
-		if ok && (en.record.Record == nil || !en.record.GetDeleted()) {
+		if ok && (pr.record.Record == nil || !pr.record.GetDeleted()) {
 			out = append(out, id)
 		}
 	}
@@ -174,7 +174,7 @@
 }
 
 // Len counts the records, deleted ones included.
-func (se *Set) Len() int { return len(se.entries) }
+func (se *Set) Len() int { return len(se.byKey) }
 
 // OrganisationByKey gives the organisation of a caller's key.
 func (se *Set) OrganisationByKey(key string) (Organisation, bool) {
@@ -224,12 +224,12 @@
 func (se *Set) Validate(place func(key string) finding.Place) finding.List {
 	var li finding.List
 	for _, re := range se.Records() {
-		en := se.entries[re.Key()]
+		pr := se.byKey[re.Key()]
 		pl := place(re.Key())
-		for _, fi := range en.faults {
+		for _, fi := range pr.findings {
 			li.Add(finding.Place{File: pl.File, Section: pl.Section, Key: fi.Place.Key}, "%s", fi.Message)
 		}
-		if va, ok := en.value.(validator); ok {
+		if va, ok := pr.value.(validator); ok {
 			va.Validate(&li, pl, se)
 		}
 	}
@@ -249,56 +249,56 @@
 	return model || version || cascade
 }
 
-func (se *Set) fill() {
+func (se *Set) buildIndexes() {
 	se.byCallerKey = map[string]OrganisationID{}
 	se.byOperatorKey = map[string]OperatorID{}
-	for _, en := range se.entries {
-		se.Findings = append(se.Findings, en.faults...)
-		se.fillOne(en.value)
+	for _, pr := range se.byKey {
+		se.Findings = append(se.Findings, pr.findings...)
+		se.addTyped(pr.value)
 	}
-	se.Organisations.seal()
-	se.Operators.seal()
-	se.Models.seal()
-	se.Versions.seal()
-	se.Cascades.seal()
-	se.Ranks.seal()
-	se.Endpoints.seal()
-	se.Services.seal()
-	se.Rollouts.seal()
-	se.Routes.seal()
-	se.Limits.seal()
+	se.Organisations.sortIDs()
+	se.Operators.sortIDs()
+	se.Models.sortIDs()
+	se.Versions.sortIDs()
+	se.Cascades.sortIDs()
+	se.Ranks.sortIDs()
+	se.Endpoints.sortIDs()
+	se.Services.sortIDs()
+	se.Rollouts.sortIDs()
+	se.Routes.sortIDs()
+	se.Limits.sortIDs()
 	se.byHost = routesByHost(se.Routes.List())
 }
 
-func (se *Set) fillOne(value any) {
+func (se *Set) addTyped(value any) {
 	switch va := value.(type) {
 	case Organisation:
-		se.Organisations.put(va.ID, va)
+		se.Organisations.add(va.ID, va)
 		for _, ha := range va.KeyHashes {
 			se.byCallerKey[ha] = va.ID
 		}
 	case Operator:
-		se.Operators.put(va.ID, va)
+		se.Operators.add(va.ID, va)
 		for _, ha := range va.KeyHashes {
 			se.byOperatorKey[ha] = va.ID
 		}
 	case Model:
-		se.Models.put(va.ID, va)
+		se.Models.add(va.ID, va)
 	case Version:
-		se.Versions.put(va.ID, va)
+		se.Versions.add(va.ID, va)
 	case Cascade:
-		se.Cascades.put(va.ID, va)
+		se.Cascades.add(va.ID, va)
 	case Rank:
-		se.Ranks.put(va.ID, va)
+		se.Ranks.add(va.ID, va)
 	case Endpoint:
-		se.Endpoints.put(va.ID, va)
+		se.Endpoints.add(va.ID, va)
 	case Service:
-		se.Services.put(va.ID, va)
+		se.Services.add(va.ID, va)
 	case Rollout:
-		se.Rollouts.put(va.ID, va)
+		se.Rollouts.add(va.ID, va)
 	case Route:
-		se.Routes.put(va.ID, va)
+		se.Routes.add(va.ID, va)
 	case Limits:
-		se.Limits.put(va.ID, va)
+		se.Limits.add(va.ID, va)
 	}
 }
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -17,8 +17,8 @@
 	}
 }
 
-// TestCompleteReadTakesAwayWhatItLacks keeps only what is newer than the read.
-func TestCompleteReadTakesAwayWhatItLacks(t *testing.T) {
+// TestSnapshotRemovesMissingRecords keeps only what is newer than the read.
+func TestSnapshotRemovesMissingRecords(t *testing.T) {
 	se := policy.NewSet().WithChanges(20, []policy.StoredRecord{rank("gone", 1, 5), rank("kept", 2, 6), rank("newer", 3, 19)})
 	next := se.WithSnapshot(15, []policy.StoredRecord{rank("kept", 2, 6), rank("newer", 4, 12), rank("added", 5, 14)})
 	qt.Assert(t, next.Revision, qt.Equals, store.Revision(15))
--- a/policy/version.go
+++ b/policy/version.go
@@ -18,7 +18,7 @@
 
 // Validate finds mistakes.
 func (mo Model) Validate(li *finding.List, pl finding.Place, se *Set) {
-	at := placeIn(pl)
+	at := specPlace(pl)
 	ve, ok := se.Versions.ByID(VersionID(mo.StableVersion))
 	if !ok {
 		li.Add(at("stable_version"), "no version %q", mo.StableVersion)
@@ -61,7 +61,7 @@
 
 // Validate finds mistakes.
 func (ve Version) Validate(li *finding.List, pl finding.Place, se *Set) {
-	at := placeIn(pl)
+	at := specPlace(pl)
 	if _, ok := se.Models.ByID(ModelID(ve.Model)); !ok {
 		li.Add(at("model"), "no model %q", ve.Model)
 	}
--- a/rating/rating.go
+++ b/rating/rating.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	callTimeout  = 2 * time.Second
-	maxListBytes = 8 << 20
+	callTimeout      = 2 * time.Second
+	maxResponseBytes = 8 << 20
 )
 
 // Answer is an answer to be rated.
@@ -53,21 +53,21 @@
 }
 
 // Close ends the pooled connections.
-func (se *Client) Close() { se.client.CloseIdleConnections() }
+func (cl *Client) Close() { cl.client.CloseIdleConnections() }
 
 // Submit hands an answer in to be rated.
-func (se *Client) Submit(ctx context.Context, an Answer) error {
+func (cl *Client) Submit(ctx context.Context, an Answer) error {
 	body, err := json.Marshal(an)
 	if err != nil {
 		return eris.Wrap(err, "Service.Submit")
 	}
-	_, err = se.call(ctx, http.MethodPost, "/v1/answers", body)
+	_, err = cl.call(ctx, http.MethodPost, "/v1/answers", body)
 	return eris.Wrap(err, "Service.Submit")
 }
 
 // RatingsAfter lists the ratings after a sequence number.
-func (se *Client) RatingsAfter(ctx context.Context, sequence int64) ([]Rating, error) {
-	text, err := se.call(ctx, http.MethodGet, "/v1/ratings?after="+strconv.FormatInt(sequence, 10), nil)
+func (cl *Client) RatingsAfter(ctx context.Context, sequence int64) ([]Rating, error) {
+	text, err := cl.call(ctx, http.MethodGet, "/v1/ratings?after="+strconv.FormatInt(sequence, 10), nil)
 	if err != nil {
 		return nil, eris.Wrap(err, "Service.After")
 	}
@@ -75,14 +75,14 @@
 	return ras, eris.Wrap(json.Unmarshal(text, &ras), "Service.After")
 }
 
-func (se *Client) call(ctx context.Context, method, path string, body []byte) ([]byte, error) {
+func (cl *Client) call(ctx context.Context, method, path string, body []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	rq, err := http.NewRequestWithContext(ctx, method, se.url+path, bytes.NewReader(body))
+	rq, err := http.NewRequestWithContext(ctx, method, cl.url+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
-	rs, err := se.client.Do(rq)
+	rs, err := cl.client.Do(rq)
 	if err != nil {
 		return nil, err
 	}
@@ -90,5 +90,5 @@
 	if rs.StatusCode >= http.StatusBadRequest {
 		return nil, eris.Errorf("%s", rs.Status)
 	}
-	return io.ReadAll(io.LimitReader(rs.Body, maxListBytes))
+	return io.ReadAll(io.LimitReader(rs.Body, maxResponseBytes))
 }
--- a/store/client.go
+++ b/store/client.go
@@ -18,11 +18,11 @@
 	"tanagerpoint.example/tanager/rpc"
 )
 
-// maxAnswerBytes bounds what one read may bring.
-const maxAnswerBytes = 64 << 20
+// maxResponseBytes bounds what one read may bring.
+const maxResponseBytes = 64 << 20
 
-// idleConnectionLimit is how long a pooled connection is trusted.
-const idleConnectionLimit = 3 * time.Second
+// idleConnTimeout is how long a pooled connection is trusted.
+const idleConnTimeout = 3 * time.Second
 
 // Options say how a Client reaches the store.
 type Options struct {
@@ -43,10 +43,10 @@
 
 // Client is a Store over HTTP. It is safe for concurrent use.
 type Client struct {
-	opt   Options
-	http  *http.Client
-	next  atomic.Uint64
-	calls atomic.Int64
+	opt      Options
+	http     *http.Client
+	urlIndex atomic.Uint64
+	calls    atomic.Int64
 }
 
 var _ Store = (*Client)(nil)
@@ -56,7 +56,7 @@
 	tr := &http.Transport{
 		DialContext:         opt.Dial,
 		MaxIdleConnsPerHost: 8,
-		IdleConnTimeout:     idleConnectionLimit,
+		IdleConnTimeout:     idleConnTimeout,
 	}
 	return &Client{opt: opt, http: &http.Client{Transport: tr}}
 }
@@ -68,7 +68,7 @@
 func (cl *Client) Calls() int64 { return cl.calls.Load() }
 
 func (cl *Client) url(path string) string {
-	return cl.opt.URLs[cl.next.Load()%uint64(len(cl.opt.URLs))] + path
+	return cl.opt.URLs[cl.urlIndex.Load()%uint64(len(cl.opt.URLs))] + path
 }
 
 // send posts a message. The boolean tells whether the store may have seen it.
@@ -87,13 +87,13 @@
 	rq.GetBody = nil
 	rs, err := cl.http.Do(rq)
 	if err != nil {
-		cl.next.Add(1)
+		cl.urlIndex.Add(1)
 		return nil, sent.Load(), err
 	}
 	if rs.StatusCode != http.StatusOK {
 		text, _ := io.ReadAll(io.LimitReader(rs.Body, 512))
 		_ = rs.Body.Close()
-		cl.next.Add(1)
+		cl.urlIndex.Add(1)
 		return nil, sent.Load(), eris.Errorf("%s answered %s: %s", path, rs.Status, text)
 	}
 	return rs, true, nil
@@ -108,7 +108,7 @@
 		return sent, err
 	}
 	defer func() { _ = rs.Body.Close() }()
-	return true, json.NewDecoder(io.LimitReader(rs.Body, maxAnswerBytes)).Decode(answer)
+	return true, json.NewDecoder(io.LimitReader(rs.Body, maxResponseBytes)).Decode(answer)
 }
 
 func (cl *Client) read(ctx context.Context, op string, rg WireRange) (ReadResult, error) {
@@ -116,7 +116,7 @@
 	if _, err := cl.call(ctx, "/v3/kv/range", rg, &rs); err != nil {
 		return ReadResult{}, eris.Wrapf(errors.Join(ErrUnavailable, err), "Client.%s", op)
 	}
-	return ReadResult{Revision: Revision(rs.Header.Revision), KeyValues: fromWire(rs.Kvs)}, nil
+	return ReadResult{Revision: Revision(rs.Header.Revision), KeyValues: keyValuesFromWire(rs.Kvs)}, nil
 }
 
 // Range implements Store.
@@ -132,21 +132,21 @@
 // Apply implements Store.
 func (cl *Client) Apply(ctx context.Context, co Commit) (Outcome, error) {
 	var rs WireTxnResponse
-	if err := cl.commit(ctx, "Apply", toTxn(co), &rs); err != nil {
+	if err := cl.transact(ctx, "Apply", txnFromCommit(co), &rs); err != nil {
 		return Outcome{}, err
 	}
-	return outcomeOf(rs, rs.Header.Revision), nil
+	return outcomeFromWire(rs, rs.Header.Revision), nil
 }
 
 // ApplyEach implements Store.
 func (cl *Client) ApplyEach(ctx context.Context, cos []Commit) ([]Outcome, error) {
 	var tx WireTxn
 	for _, co := range cos {
-		sub := toTxn(co)
+		sub := txnFromCommit(co)
 		tx.Success = append(tx.Success, WireOp{Txn: &sub})
 	}
 	var rs WireTxnResponse
-	if err := cl.commit(ctx, "ApplyEach", tx, &rs); err != nil {
+	if err := cl.transact(ctx, "ApplyEach", tx, &rs); err != nil {
 		return nil, err
 	}
 	if len(rs.Responses) != len(cos) {
@@ -157,12 +157,12 @@
 		if re.Txn == nil {
 			return nil, eris.Wrap(ErrOutcomeUnknown, "Client.ApplyEach: answer without txn")
 		}
-		ous[i] = outcomeOf(*re.Txn, rs.Header.Revision)
+		ous[i] = outcomeFromWire(*re.Txn, rs.Header.Revision)
 	}
 	return ous, nil
 }
 
-func (cl *Client) commit(ctx context.Context, op string, tx WireTxn, rs *WireTxnResponse) error {
+func (cl *Client) transact(ctx context.Context, op string, tx WireTxn, rs *WireTxnResponse) error {
 	sent, err := cl.call(ctx, "/v3/kv/txn", tx, rs)
 	if err == nil {
 		return nil
@@ -202,14 +202,14 @@
 		if li.Result.Canceled {
 			return eris.Wrap(ErrUnavailable, "Client.Watch: cancelled by the store")
 		}
-		report(noticeOf(li.Result))
+		report(updateFromWire(li.Result))
 	}
 }
 
-func noticeOf(re WireWatchResult) WatchUpdate {
+func updateFromWire(re WireWatchResult) WatchUpdate {
 	no := WatchUpdate{Revision: Revision(re.Header.Revision)}
 	for _, ev := range re.Events {
-		no.Changes = append(no.Changes, Change{KeyValue: fromWire([]WireKeyValue{ev.Kv})[0], Deleted: ev.Type == "DELETE"})
+		no.Changes = append(no.Changes, Change{KeyValue: keyValuesFromWire([]WireKeyValue{ev.Kv})[0], Deleted: ev.Type == "DELETE"})
 	}
 	return no
 }
@@ -242,7 +242,7 @@
 	return nil
 }
 
-func toTxn(co Commit) WireTxn {
+func txnFromCommit(co Commit) WireTxn {
 	var tx WireTxn
 	for _, cm := range co.Compares {
 		tx.Compare = append(tx.Compare, WireCompare{Key: []byte(cm.Key), Target: "MOD", Result: "EQUAL", ModRevision: int64(cm.ModRevision)})
@@ -257,20 +257,20 @@
 	return tx
 }
 
-func outcomeOf(rs WireTxnResponse, revision int64) Outcome {
+func outcomeFromWire(rs WireTxnResponse, revision int64) Outcome {
 	ou := Outcome{Applied: rs.Succeeded, Revision: Revision(revision)}
 	if rs.Succeeded {
 		return ou
 	}
 	for _, re := range rs.Responses {
 		if re.Range != nil {
-			ou.Found = append(ou.Found, fromWire(re.Range.Kvs)...)
+			ou.Found = append(ou.Found, keyValuesFromWire(re.Range.Kvs)...)
 		}
 	}
 	return ou
 }
 
-func fromWire(kvs []WireKeyValue) []KeyValue {
+func keyValuesFromWire(kvs []WireKeyValue) []KeyValue {
 	out := make([]KeyValue, len(kvs))
 	for i, kv := range kvs {
 		out[i] = KeyValue{
--- a/store/resolve.go
+++ b/store/resolve.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	firstResolveWait = 20 * time.Millisecond
-	lastResolveWait  = 500 * time.Millisecond
+	initialResolveBackoff = 20 * time.Millisecond
+	maxResolveBackoff     = 500 * time.Millisecond
 )
 
 // ApplyResolved makes a commit and, when its answer is lost, makes the same
@@ -23,22 +23,22 @@
 //
 // The error is ErrUnavailable when no try can have taken effect, ErrUnknown
 // when one may have.
-func ApplyResolved(ctx context.Context, st Store, co Commit, own func(found []KeyValue) bool) (Outcome, error) {
+func ApplyResolved(ctx context.Context, st Store, co Commit, isOwn func(found []KeyValue) bool) (Outcome, error) {
 	bo := backoff.NewExponentialBackOff()
-	bo.InitialInterval, bo.MaxInterval = firstResolveWait, lastResolveWait
-	unknown := false
+	bo.InitialInterval, bo.MaxInterval = initialResolveBackoff, maxResolveBackoff
+	outcomeUnknown := false
 	for {
 		ou, err := st.Apply(ctx, co)
 		if err == nil {
-			if !ou.Applied && unknown && own(ou.Found) {
+			if !ou.Applied && outcomeUnknown && isOwn(ou.Found) {
 				ou.Applied = true
 			}
 			return ou, nil
 		}
-		if !errors.Is(err, ErrOutcomeUnknown) && !unknown {
+		if !errors.Is(err, ErrOutcomeUnknown) && !outcomeUnknown {
 			return Outcome{}, err
 		}
-		unknown = true
+		outcomeUnknown = true
 		if !worker.Sleep(ctx, bo.NextBackOff()) {
 			return Outcome{}, eris.Wrap(errors.Join(ErrOutcomeUnknown, err), "ApplyResolved")
 		}
