--- a/policy/cascade.go
+++ b/policy/cascade.go
@@ -5,20 +5,22 @@
 	"tanagerpoint.example/tanager/rpc"
 )
 
-// Cascade picks among models for a quality target.
+// Cascade is a list of models, cheapest first. One of them is chosen for each
+// request, so that the mean quality reaches a target at the least cost.
 type Cascade struct {
 	ID CascadeID
 	*rpc.Cascade
 }
 
-// Defaults sets nothing.
+// Defaults does nothing: a cascade has no defaults.
 func (ca Cascade) Defaults() {}
 
-// Validate finds mistakes.
+// Validate adds a finding to li for an empty list of models, for each model that
+// does not exist, and for a quality target or rated share outside 0 to 1.
 func (ca Cascade) Validate(li *finding.List, pl finding.Place, se *Set) {
 	at := specPlace(pl)
 	if len(ca.Models) == 0 {
-		li.Add(at("models"), "names no model")
+		li.Add(at("models"), "no models listed")
 	}
 	for _, id := range ca.Models {
 		if _, ok := se.Models.ByID(ModelID(id)); !ok {
@@ -26,9 +28,9 @@
 		}
 	}
 	if ca.QualityTarget < 0 || ca.QualityTarget > 1 {
-		li.Add(at("quality_target"), "%v is outside 0 to 1", ca.QualityTarget)
+		li.Add(at("quality_target"), "%v is not between 0 and 1", ca.QualityTarget)
 	}
 	if ca.RatedShare < 0 || ca.RatedShare > 1 {
-		li.Add(at("rated_share"), "%v is outside 0 to 1", ca.RatedShare)
+		li.Add(at("rated_share"), "%v is not between 0 and 1", ca.RatedShare)
 	}
 }
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -15,13 +15,13 @@
 	defaultServiceTimeoutMS = 10_000
 )
 
-// Endpoint is one replica: a model engine or a plain service.
+// Endpoint is one replica of a model engine or of a plain service.
 type Endpoint struct {
 	ID EndpointID
 	*rpc.Endpoint
 }
 
-// Defaults sets what the record leaves out.
+// Defaults sets the kind and the number of slots if they are not set.
 func (en Endpoint) Defaults() {
 	if en.Kind == rpc.EndpointKind_ENDPOINT_KIND_UNSPECIFIED {
 		en.Kind = rpc.EndpointKind_ENGINE
@@ -31,7 +31,8 @@
 	}
 }
 
-// Validate finds mistakes.
+// Validate adds a finding to li for an invalid URL, a missing failure domain, a
+// negative number of slots, and each version or service that does not exist.
 func (en Endpoint) Validate(li *finding.List, pl finding.Place, se *Set) {
 	at := specPlace(pl)
 	ur, err := url.Parse(en.Url)
@@ -57,19 +58,20 @@
 	}
 }
 
-// Serves tells whether the endpoint should serve a version.
+// Serves reports whether the record lists a version as served by the endpoint.
 func (en Endpoint) Serves(id VersionID) bool {
 	return slices.Contains(en.Versions, string(id))
 }
 
-// Service is a plain service beside the engines.
+// Service is a plain HTTP service, or a service whose endpoints are model engines
+// when its field Engine is set.
 type Service struct {
 	ID ServiceID
 	*rpc.Service
 }
 
-// Defaults sets what the record leaves out: only calls that change nothing may
-// be repeated.
+// Defaults sets the timeout and the unrepeatable methods if they are not set. By
+// default a call with a method that may change data is not repeated.
 func (sv Service) Defaults() {
 	if sv.UnrepeatableMethods == nil {
 		sv.UnrepeatableMethods = []string{http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete}
@@ -79,7 +81,7 @@
 	}
 }
 
-// Validate finds mistakes.
+// Validate adds a finding to li for a negative timeout or price.
 func (sv Service) Validate(li *finding.List, pl finding.Place, _ *Set) {
 	if sv.TimeoutMs < 0 {
 		li.Add(specPlace(pl)("timeout_ms"), "%d is negative", sv.TimeoutMs)
@@ -89,12 +91,13 @@
 	}
 }
 
-// Repeatable tells whether a call with a method may be sent more than once.
+// Repeatable reports whether a call with a method may be sent more than once.
 func (sv Service) Repeatable(method string) bool {
 	return !slices.Contains(sv.UnrepeatableMethods, method)
 }
 
-// Deadline is when a call that arrived at a time must have its answer.
+// Deadline returns the time by which a call that arrived at the given time must
+// be answered.
 func (sv Service) Deadline(arrived time.Time) time.Time {
 	return arrived.Add(time.Duration(sv.TimeoutMs) * time.Millisecond)
 }
--- a/policy/file.go
+++ b/policy/file.go
@@ -10,20 +10,23 @@
 	"tanagerpoint.example/tanager/store"
 )
 
-// FileRecord is a record from an operator's file. Base is the revision that it
-// was made from, as `tanagerctl get` writes it; 0 when it is not given.
+// FileRecord is a record read from an operator's file. BaseRevision is the
+// revision that the operator edited, which `tanagerctl get` writes into the file;
+// 0 if the file gives none.
 type FileRecord struct {
 	Record       Record
 	File         string
 	BaseRevision store.Revision
 }
 
-// revisionField is the field in files that carries the base revision. It is
-// not stored.
+// revisionField is the field that holds the base revision in files. It is removed
+// before a record is stored.
 const revisionField = "revision"
 
-// ReadFiles reads records from files. A file holds one record, an array of
-// them, or an object with an array named records. The error is a finding.List.
+// ReadFiles reads records from JSON files. A file holds one record, an array of
+// records, or an object whose field "records" is such an array. It returns the
+// records that can be read, and a finding.List as the error if some cannot or if a
+// record is given twice.
 func ReadFiles(files []string) ([]FileRecord, error) {
 	var li finding.List
 	var out []FileRecord
@@ -36,7 +39,7 @@
 		}
 		for _, fr := range parseFile(&li, fi, text) {
 			if other, ok := seen[fr.Record.Key()]; ok {
-				li.Add(finding.Place{File: fi, Section: fr.Record.Key()}, "stands in %s too", other)
+				li.Add(finding.Place{File: fi, Section: fr.Record.Key()}, "same record is also in %s", other)
 				continue
 			}
 			seen[fr.Record.Key()] = fi
@@ -46,10 +49,11 @@
 	return out, li.Err()
 }
 
+// parseFile returns the records in the text of a file and adds findings to li.
 func parseFile(li *finding.List, file string, text []byte) []FileRecord {
 	if !json.Valid(text) {
 		var va any
-		li.Add(finding.Place{File: file}, "not JSON: %v", json.Unmarshal(text, &va))
+		li.Add(finding.Place{File: file}, "invalid JSON: %v", json.Unmarshal(text, &va))
 		return nil
 	}
 	body := gjson.ParseBytes(text)
@@ -76,7 +80,8 @@
 	return out
 }
 
-// ValidateFiles finds the mistakes of records in files, on top of a set.
+// ValidateFiles validates the set that results from adding the records of files to
+// se. The findings include those of records already in se, without a file.
 func ValidateFiles(se *Set, frs []FileRecord) finding.List {
 	files := map[string]string{}
 	var res []Record
@@ -90,8 +95,8 @@
 	return append(li, next.Validate(place)...)
 }
 
-// unparsedFindings finds the records whose envelopes cannot be read at all, which have
-// no place among the validated ones.
+// unparsedFindings returns the findings of the given records whose envelope cannot
+// be parsed. Validate does not see them, because Records leaves them out.
 func (se *Set) unparsedFindings(files map[string]string) finding.List {
 	var li finding.List
 	for key, file := range files {
--- a/policy/limits.go
+++ b/policy/limits.go
@@ -7,7 +7,7 @@
 	"tanagerpoint.example/tanager/rpc"
 )
 
-// LimitsSite is the id of the limits of the site.
+// LimitsSite is the id of the record whose limits apply to the site.
 const LimitsSite LimitsID = "site"
 
 const (
@@ -17,13 +17,14 @@
 	defaultIdleTimeoutMS   = 60_000
 )
 
-// Limits bound what callers may send, and how long they may take.
+// Limits are the limits on callers' requests: the sizes of header and body, and the
+// time to send the header and to keep an idle connection.
 type Limits struct {
 	ID LimitsID
 	*rpc.Limits
 }
 
-// Defaults sets what the record leaves out.
+// Defaults sets each limit that is not set.
 func (lm Limits) Defaults() {
 	if lm.MaxHeaderBytes == 0 {
 		lm.MaxHeaderBytes = defaultMaxHeaderBytes
@@ -39,7 +40,7 @@
 	}
 }
 
-// Validate finds mistakes.
+// Validate adds a finding to li for each negative limit.
 func (lm Limits) Validate(li *finding.List, pl finding.Place, _ *Set) {
 	for _, fi := range []struct {
 		key   string
@@ -54,12 +55,14 @@
 	}
 }
 
-// IdleTimeout is how long a caller's connection may stay without a request.
+// IdleTimeout returns how long a caller's connection may stay open without a
+// request.
 func (lm Limits) IdleTimeout() time.Duration {
 	return time.Duration(lm.IdleTimeoutMs) * time.Millisecond
 }
 
-// SiteLimits gives the limits in force.
+// SiteLimits returns the limits of the site, or the defaults if there is no usable
+// record for them.
 func (se *Set) SiteLimits() Limits {
 	if lm, ok := se.Limits.ByID(LimitsSite); ok {
 		return lm
--- a/policy/organisation.go
+++ b/policy/organisation.go
@@ -9,7 +9,7 @@
 	"tanagerpoint.example/tanager/rpc"
 )
 
-// wildcardID in a list of allowed ids allows every one.
+// wildcardID in a list of allowed ids allows all ids.
 const wildcardID = "*"
 
 // Organisation is a customer whose callers use the system.
@@ -18,7 +18,7 @@
 	*rpc.Organisation
 }
 
-// Defaults sets what the record leaves out.
+// Defaults sets the share to 1 and allows all ranks if these fields are not set.
 func (or Organisation) Defaults() {
 	if or.Share == 0 {
 		or.Share = 1
@@ -28,7 +28,8 @@
 	}
 }
 
-// Validate finds mistakes; se holds the records that it may refer to.
+// Validate adds a finding to li for each malformed key hash, for each allowed id
+// that does not exist in se, and for a negative share or limit.
 func (or Organisation) Validate(li *finding.List, pl finding.Place, se *Set) {
 	at := specPlace(pl)
 	validateKeyHashes(li, at("key_hashes"), or.KeyHashes)
@@ -55,23 +56,23 @@
 	}
 }
 
-// AllowsVersion tells whether the organisation may run on a version: it, its
-// model, or every one is allowed.
+// AllowsVersion reports whether the organisation may use a version: its list of
+// allowed models holds the version, the version's model or the wildcard.
 func (or Organisation) AllowsVersion(ve Version) bool {
 	return allows(or.AllowedModels, string(ve.ID)) || allows(or.AllowedModels, ve.Model)
 }
 
-// AllowsCascade tells whether the organisation may name a cascade.
+// AllowsCascade reports whether the organisation may request a cascade by name.
 func (or Organisation) AllowsCascade(id CascadeID) bool {
 	return allows(or.AllowedModels, string(id))
 }
 
-// AllowsService tells whether the organisation may call a plain service.
+// AllowsService reports whether the organisation may call a plain service.
 func (or Organisation) AllowsService(id ServiceID) bool {
 	return allows(or.AllowedServices, string(id))
 }
 
-// AllowsRank tells whether the organisation may ask for a rank.
+// AllowsRank reports whether the organisation may request a rank.
 func (or Organisation) AllowsRank(id RankID) bool {
 	return allows(or.AllowedRanks, string(id))
 }
@@ -80,21 +81,22 @@
 	return slices.Contains(ids, id) || slices.Contains(ids, wildcardID)
 }
 
-// Operator may use the admin listener.
+// Operator is a person or program that may use the admin listener.
 type Operator struct {
 	ID OperatorID
 	*rpc.Operator
 }
 
-// Defaults sets nothing: an operator without keys may do nothing.
+// Defaults does nothing. An operator without keys cannot authenticate.
 func (op Operator) Defaults() {}
 
-// Validate finds mistakes.
+// Validate adds a finding to li for each malformed key hash.
 func (op Operator) Validate(li *finding.List, pl finding.Place, _ *Set) {
 	validateKeyHashes(li, specPlace(pl)("key_hashes"), op.KeyHashes)
 }
 
-// HashKey gives the form in which a caller's or operator's key is stored.
+// HashKey returns the form in which a caller's or operator's key is stored: its
+// SHA-256 hash in lower-case hex.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
@@ -108,6 +110,8 @@
 	}
 }
 
+// specPlace returns a function that returns the place of a field of the spec of the
+// record at pl.
 func specPlace(pl finding.Place) func(key string) finding.Place {
 	return func(key string) finding.Place {
 		pl.Key = "spec." + key
--- a/policy/parse.go
+++ b/policy/parse.go
@@ -6,8 +6,9 @@
 	"tanagerpoint.example/tanager/store"
 )
 
-// parseStored reads a stored record. One that cannot be used has faults and no
-// value: it counts as absent, which refuses work and never allows more.
+// parseStored parses a stored record. A record that cannot be used has findings and
+// no value, and counts as absent: a missing record can deny work but cannot permit
+// any. A deleted record has neither findings nor a value.
 func parseStored(st StoredRecord) parsedRecord {
 	pr := parsedRecord{stored: store.KeyValue{Key: store.Key(st.Key), Value: st.Value, ModRevision: st.ModRevision}}
 	pl := finding.Place{Section: st.Key}
@@ -21,7 +22,7 @@
 		return pr
 	}
 	if re.Key() != st.Key {
-		pr.findings.Add(pl, "record calls itself %q", re.Key())
+		pr.findings.Add(pl, "kind and id give the key %q, not the key under which the record is stored", re.Key())
 		return pr
 	}
 	if !re.validateEnvelope(&pr.findings, pl) {
@@ -37,6 +38,8 @@
 	return pr
 }
 
+// newTyped returns the record's typed value, for example an Organisation. ms is the
+// spec that parseSpec returned for the record.
 func newTyped(re Record, ms any) validator {
 	id := re.GetId()
 	switch sp := ms.(type) {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,9 +1,9 @@
-// Package policy holds the operators' policy records: their types, their
-// rules, and the immutable Set of all records at one revision.
+// Package policy defines the operators' policy records: their types, defaults and
+// validation, and the immutable Set of all records at one revision.
 //
-// A record is a JSON object with the fields of rpc.Record and a "spec" whose
-// fields are those of the message of its kind. Each record carries a schema
-// version; records of versions 1 and 2 stand side by side.
+// A record is a JSON object with an envelope, which has the fields of rpc.Record,
+// and a "spec", whose fields are those of the protobuf message of its kind. Each
+// record has a schema version; a Set may mix records of versions 1 and 2.
 package policy
 
 import (
@@ -12,7 +12,7 @@
 	"slices"
 )
 
-// SchemaVersion is the newest schema version that this program knows.
+// SchemaVersion is the newest schema version that this program supports.
 const SchemaVersion = 2
 
 // Kind names a kind of record.
@@ -55,13 +55,13 @@
 	RolloutID string
 	// RouteID names a route.
 	RouteID string
-	// LimitsID names the limits; the site's is LimitsSite.
+	// LimitsID names a record of limits; only LimitsSite is used.
 	LimitsID string
-	// ReleaseID names a version of the software that endpoints run.
+	// ReleaseID names a release of the software that endpoints run.
 	ReleaseID string
 )
 
-// FailureDomain is a part of a site that fails as one.
+// FailureDomain names a part of a site that can fail as a whole.
 type FailureDomain string
 
 // Table holds the records of one kind by id.
@@ -70,13 +70,13 @@
 	ids  []K
 }
 
-// ByID gives the record with an id.
+// ByID returns the record with an id, and whether it exists.
 func (ta *Table[K, V]) ByID(id K) (V, bool) {
 	va, ok := ta.byID[id]
 	return va, ok
 }
 
-// List gives the records in the order of their ids.
+// List returns the records, sorted by id.
 func (ta *Table[K, V]) List() []V {
 	out := make([]V, len(ta.ids))
 	for i, id := range ta.ids {
@@ -85,7 +85,7 @@
 	return out
 }
 
-// Len counts the records.
+// Len returns the number of records.
 func (ta *Table[K, V]) Len() int { return len(ta.ids) }
 
 func (ta *Table[K, V]) add(id K, va V) {
@@ -95,6 +95,7 @@
 	ta.byID[id] = va
 }
 
+// sortIDs sorts the ids for List. It is called once, after the last add.
 func (ta *Table[K, V]) sortIDs() {
 	ta.ids = slices.Sorted(maps.Keys(ta.byID))
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -45,7 +45,7 @@
 		qt.Assert(t, ve.Cost(10, 10), qt.Equals, ca.cost)
 		qt.Assert(t, ve.Live(), qt.IsTrue)
 	}
-	// A record that this program cannot read is absent, and that is told.
+	// A record whose min_reader is too new is absent and is listed in Findings.
 	_, ok := se.Versions.ByID("m-4")
 	qt.Assert(t, ok, qt.IsFalse)
 	qt.Assert(t, se.Findings, qt.HasLen, 1)
@@ -62,8 +62,9 @@
 	qt.Assert(t, string(re.JSON), qt.Contains, `"later":{"a":1}`)
 }
 
-// TestSetIsIndependentOfChangeOrder merges the same changes in any order, with
-// repeats, and comes to the same set.
+// TestSetIsIndependentOfChangeOrder checks that applying the same changes in any
+// order, some of them more than once, gives the same set, and that ChangedAfter
+// returns all changes that a set at an earlier revision lacks.
 func TestSetIsIndependentOfChangeOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(rt, "changes")
@@ -87,14 +88,14 @@
 		}
 		for i, re := range want.Records() {
 			if string(re.JSON) != string(got.Records()[i].JSON) {
-				rt.Fatalf("%s differs", re.Key())
+				rt.Fatalf("text of record %s differs", re.Key())
 			}
 		}
-		// What a peer is told after a revision completes a set at it.
+		// A peer at an earlier revision is sent ChangedAfter of that revision.
 		at := store.Revision(rapid.IntRange(0, n).Draw(rt, "at"))
 		behind := policy.NewSet().WithChanges(0, all[:at])
 		if caughtUp := behind.WithChanges(want.Revision, want.ChangedAfter(behind.Revision)); len(caughtUp.Records()) != len(want.Records()) {
-			rt.Fatalf("a peer's answer does not complete the set")
+			rt.Fatalf("a set at an earlier revision lacks records after applying the result of ChangedAfter")
 		}
 	})
 }
--- a/policy/rank.go
+++ b/policy/rank.go
@@ -12,13 +12,13 @@
 	defaultFirstTokenTargetMS = 2_000
 )
 
-// Rank is a class of urgency. Order 0 is the most urgent.
+// Rank is a priority class of requests. Order 0 is the most urgent.
 type Rank struct {
 	ID RankID
 	*rpc.Rank
 }
 
-// Defaults sets what the record leaves out.
+// Defaults sets the deadline and the first-token target if they are not set.
 func (ra Rank) Defaults() {
 	if ra.DeadlineMs == 0 {
 		ra.DeadlineMs = defaultDeadlineMS
@@ -28,7 +28,9 @@
 	}
 }
 
-// Validate finds mistakes.
+// Validate adds a finding to li for a negative time, a floor or headroom that is
+// not a valid share, an order that another rank has, and floors of all ranks whose
+// sum is greater than 1.
 func (ra Rank) Validate(li *finding.List, pl finding.Place, se *Set) {
 	at := specPlace(pl)
 	if ra.DeadlineMs < 0 {
@@ -38,31 +40,31 @@
 		li.Add(at("first_token_target_ms"), "%d is negative", ra.FirstTokenTargetMs)
 	}
 	if ra.Floor < 0 || ra.Floor > 1 {
-		li.Add(at("floor"), "%v is outside 0 to 1", ra.Floor)
+		li.Add(at("floor"), "%v is not between 0 and 1", ra.Floor)
 	}
 	if ra.Headroom < 0 || ra.Headroom >= 1 {
-		li.Add(at("headroom"), "%v is outside 0 to 1", ra.Headroom)
+		li.Add(at("headroom"), "%v is not at least 0 and less than 1", ra.Headroom)
 	}
 	sum := 0.0
 	for _, other := range se.Ranks.List() {
 		if other.ID != ra.ID && other.Order == ra.Order {
-			li.Add(at("order"), "same order as rank %q", other.ID)
+			li.Add(at("order"), "rank %q has the same order", other.ID)
 		}
 		sum += other.Floor
 	}
 	if sum > 1 {
-		li.Add(at("floor"), "floors of all ranks add up to %v", sum)
+		li.Add(at("floor"), "floors of all ranks add up to %v, more than 1", sum)
 	}
 }
 
-// Deadline is when a request that arrived at a time and named no deadline
-// must have its answer.
+// Deadline returns the time by which a request that arrived at the given time, and
+// that gave no deadline of its own, must be answered.
 func (ra Rank) Deadline(arrived time.Time) time.Time {
 	return arrived.Add(time.Duration(ra.DeadlineMs) * time.Millisecond)
 }
 
-// FirstTokenDeadline is when a request that arrived at a time should have its
-// first token.
+// FirstTokenDeadline returns the target time for the first token of a request that
+// arrived at the given time.
 func (ra Rank) FirstTokenDeadline(arrived time.Time) time.Time {
 	return arrived.Add(time.Duration(ra.FirstTokenTargetMs) * time.Millisecond)
 }
--- a/policy/record.go
+++ b/policy/record.go
@@ -16,28 +16,29 @@
 	"tanagerpoint.example/tanager/rpc"
 )
 
-// maxRecordBytes bounds one record.
+// maxRecordBytes is the largest size of a record's JSON text.
 const maxRecordBytes = 256 << 10
 
 var idPattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._@:-]{0,62}$`)
 
-// Record is one policy record. JSON is its whole text, unknown fields included.
+// Record is one policy record: its parsed envelope, and JSON, its complete text in
+// compact form, which includes fields unknown to this program.
 type Record struct {
 	*rpc.Record
 	JSON []byte
 }
 
-// ParseRecord reads a record's envelope.
+// ParseRecord parses a record's envelope. It does not parse or validate the spec.
 func ParseRecord(text []byte) (Record, error) {
 	if len(text) > maxRecordBytes {
 		return Record{}, eris.Errorf("record is larger than %d bytes", maxRecordBytes)
 	}
 	var compact bytes.Buffer
 	if err := json.Compact(&compact, text); err != nil {
-		return Record{}, eris.Errorf("not JSON: %v", err)
+		return Record{}, eris.Errorf("invalid JSON: %v", err)
 	}
 	if !gjson.ParseBytes(compact.Bytes()).IsObject() {
-		return Record{}, eris.New("not a JSON object")
+		return Record{}, eris.New("record is not a JSON object")
 	}
 	ms := &rpc.Record{}
 	op := protojson.UnmarshalOptions{DiscardUnknown: true}
@@ -47,7 +48,8 @@
 	return Record{Record: ms, JSON: compact.Bytes()}, nil
 }
 
-// NewRecord gives the record of a spec. The same spec gives the same text.
+// NewRecord returns a record of the newest schema version with the given spec. The
+// same spec always gives the same text.
 func NewRecord(ki Kind, id string, spec proto.Message) (Record, error) {
 	text, err := protojson.MarshalOptions{UseProtoNames: true}.Marshal(spec)
 	if err != nil {
@@ -56,12 +58,12 @@
 	return newRecord(recordJSON{SchemaVersion: SchemaVersion, Kind: ki, ID: id, Spec: text})
 }
 
-// NewTombstone gives the record that stands in place of a deleted one.
+// NewTombstone returns the record that replaces a deleted one.
 func NewTombstone(ki Kind, id string) (Record, error) {
 	return newRecord(recordJSON{SchemaVersion: SchemaVersion, Kind: ki, ID: id, Deleted: true})
 }
 
-// recordJSON is the text of a record that is made here.
+// recordJSON is the JSON form of a record that this package creates.
 type recordJSON struct {
 	SchemaVersion int64           `json:"schema_version"`
 	Kind          Kind            `json:"kind"`
@@ -71,7 +73,8 @@
 }
 
 func newRecord(rt recordJSON) (Record, error) {
-	// Marshal takes out the spaces of protojson, which differ from build to build.
+	// Marshal removes the white space that protojson writes into the spec, which
+	// differs from build to build.
 	text, err := json.Marshal(rt)
 	if err != nil {
 		return Record{}, eris.Wrap(err, "policy.newRecord")
@@ -79,10 +82,10 @@
 	return ParseRecord(text)
 }
 
-// Key is the record's place among all records: kind/id.
+// Key returns the record's key, kind/id, which is unique among all records.
 func (re Record) Key() string { return re.GetKind() + "/" + re.GetId() }
 
-// Spec gives the text of the spec, "{}" when there is none.
+// Spec returns the JSON text of the spec, or "{}" if there is none.
 func (re Record) Spec() []byte {
 	if sp := gjson.GetBytes(re.JSON, "spec"); sp.IsObject() {
 		return []byte(sp.Raw)
@@ -90,8 +93,8 @@
 	return []byte("{}")
 }
 
-// WithField gives a copy with one field set; path is as in the JSON, for example
-// spec.state. Fields that this program does not know are kept.
+// WithField returns a copy with one field set. path is the field's path in the
+// JSON, for example spec.state. Fields unknown to this program are kept.
 func (re Record) WithField(path string, value any) (Record, error) {
 	text, err := sjson.SetBytes(bytes.Clone(re.JSON), path, value)
 	if err != nil {
@@ -100,7 +103,9 @@
 	return ParseRecord(text)
 }
 
-// Stamp says who made a change, when, and under which id.
+// Stamp is the part of the envelope that describes the last change: who made it,
+// when, and as part of which operation. FencingToken is that of the steward which
+// made the change, 0 for an operator's change.
 type Stamp struct {
 	ChangedBy    string
 	OperationID  string
@@ -108,7 +113,7 @@
 	FencingToken int64
 }
 
-// WithStamp gives a copy that carries a stamp.
+// WithStamp returns a copy whose stamp fields are set to st.
 func (re Record) WithStamp(st Stamp) (Record, error) {
 	for _, fi := range []struct {
 		path  string
@@ -127,11 +132,14 @@
 	return re, nil
 }
 
-// SameContent tells whether two records differ in nothing but their stamps.
+// SameContent reports whether two records are equal except for their stamps. The
+// order of fields does not matter.
 func (re Record) SameContent(other Record) bool {
 	return bytes.Equal(re.unstampedJSON(), other.unstampedJSON())
 }
 
+// unstampedJSON returns the record's text without the stamp and with its fields
+// sorted.
 func (re Record) unstampedJSON() []byte {
 	text := re.JSON
 	for _, path := range []string{"changed_by", "operation_id", "changed_at_ms", "fencing_token"} {
@@ -141,12 +149,13 @@
 	if json.Unmarshal(text, &va) != nil {
 		return text
 	}
-	// Marshal orders the fields.
+	// Marshal sorts the fields of a map.
 	out, _ := json.Marshal(va)
 	return out
 }
 
-// validateEnvelope finds mistakes in what every record has.
+// validateEnvelope adds a finding to li for each mistake in the envelope, and
+// reports whether there was none.
 func (re Record) validateEnvelope(li *finding.List, pl finding.Place) bool {
 	before := len(*li)
 	at := func(key string) finding.Place { pl.Key = key; return pl }
@@ -154,7 +163,7 @@
 		li.Add(at("schema_version"), "missing")
 	}
 	if re.GetMinReader() > SchemaVersion {
-		li.Add(at("min_reader"), "needs schema version %d, this program knows %d", re.GetMinReader(), SchemaVersion)
+		li.Add(at("min_reader"), "record requires schema version %d, but this program supports up to %d", re.GetMinReader(), SchemaVersion)
 	}
 	if newSpec(Kind(re.GetKind())) == nil {
 		li.Add(at("kind"), "unknown kind %q", re.GetKind())
@@ -165,6 +174,7 @@
 	return len(*li) == before
 }
 
+// newSpec returns an empty spec message of a kind, or nil if the kind is unknown.
 func newSpec(ki Kind) proto.Message {
 	switch ki {
 	case KindOrganisation:
@@ -193,8 +203,9 @@
 	return nil
 }
 
-// parseSpec reads the spec. Fields unknown to this program are findings for a
-// record of a schema version that it knows, and are passed over in a later one.
+// parseSpec parses the spec. It adds a finding to li and returns nil if that fails.
+// A field unknown to this program is an error in a record whose schema version it
+// supports, and is ignored in a record of a later version.
 func (re Record) parseSpec(li *finding.List, pl finding.Place) proto.Message {
 	ms := newSpec(Kind(re.GetKind()))
 	op := protojson.UnmarshalOptions{DiscardUnknown: re.GetSchemaVersion() > SchemaVersion}
@@ -206,7 +217,7 @@
 	return ms
 }
 
-// withoutField gives a copy that lacks a field.
+// withoutField returns a copy without the field at path.
 func (re Record) withoutField(path string) (Record, error) {
 	text, err := sjson.DeleteBytes(bytes.Clone(re.JSON), path)
 	if err != nil {
--- a/policy/rollout.go
+++ b/policy/rollout.go
@@ -10,15 +10,19 @@
 	defaultQualityMargin  = 0.02
 )
 
-// Rollout moves a model's new sessions from one version to another.
+// Rollout moves new sessions of a model step by step from one version to another,
+// or, when its field Service is set, replaces the endpoints of a service by those
+// of another release.
 type Rollout struct {
 	ID RolloutID
 	*rpc.Rollout
-	// FencingToken of the steward's last change.
+	// FencingToken is that of the steward which changed the record last, 0 if an
+	// operator did.
 	FencingToken int64
 }
 
-// Defaults sets what the record leaves out.
+// Defaults sets the state, the steps, the answers per step and the quality margin
+// if they are not set.
 func (ro Rollout) Defaults() {
 	if ro.State == rpc.RolloutState_ROLLOUT_STATE_UNSPECIFIED {
 		ro.State = rpc.RolloutState_RUNNING
@@ -34,7 +38,9 @@
 	}
 }
 
-// Validate finds mistakes.
+// Validate adds a finding to li for a model or version that does not exist, a
+// version of another model, invalid shares, and a second active roll-out of the
+// model. A roll-out of a service's release has rules of its own.
 func (ro Rollout) Validate(li *finding.List, pl finding.Place, se *Set) {
 	at := specPlace(pl)
 	if ro.Service != "" {
@@ -51,38 +57,40 @@
 			continue
 		}
 		if ve.Model != ro.Model {
-			li.Add(at(vr.key), "version %q is of model %q", vr.id, ve.Model)
+			li.Add(at(vr.key), "version %q belongs to model %q", vr.id, ve.Model)
 		}
 	}
 	if ro.FromVersion == ro.ToVersion {
 		li.Add(at("to_version"), "same as from_version")
 	}
 	if ro.Share < 0 || ro.Share > 1 {
-		li.Add(at("share"), "%v is outside 0 to 1", ro.Share)
+		li.Add(at("share"), "%v is not between 0 and 1", ro.Share)
 	}
 	previous := 0.0
 	for _, st := range ro.Steps {
 		if st <= previous || st > 1 {
-			li.Add(at("steps"), "%v does not rise within 0 to 1", ro.Steps)
+			li.Add(at("steps"), "%v are not increasing shares, each greater than 0 and at most 1", ro.Steps)
 			break
 		}
 		previous = st
 	}
 	for _, other := range se.Rollouts.List() {
 		if other.ID != ro.ID && other.Model == ro.Model && ro.Active() && other.Active() {
-			li.Add(at("model"), "roll-out %q of this model is under way", other.ID)
+			li.Add(at("model"), "roll-out %q of the same model is running or paused", other.ID)
 		}
 	}
 }
 
-// validateRelease finds mistakes in a roll-out of a service's release.
+// validateRelease validates a roll-out of a service's release. It adds a finding to
+// li for a service that does not exist, a model set together with the service, a
+// missing release and a duration that is not positive.
 func (ro Rollout) validateRelease(li *finding.List, pl finding.Place, se *Set) {
 	at := specPlace(pl)
 	if _, ok := se.Services.ByID(ServiceID(ro.Service)); !ok {
 		li.Add(at("service"), "no service %q", ro.Service)
 	}
 	if ro.Model != "" {
-		li.Add(at("model"), "set beside service")
+		li.Add(at("model"), "set together with service")
 	}
 	if ro.ToVersion == "" {
 		li.Add(at("to_version"), "missing")
@@ -92,12 +100,13 @@
 	}
 }
 
-// Active tells whether the roll-out is running or paused.
+// Active reports whether the roll-out is running or paused.
 func (ro Rollout) Active() bool {
 	return ro.State == rpc.RolloutState_RUNNING || ro.State == rpc.RolloutState_PAUSED
 }
 
-// CandidateShare gives the share of new sessions for to_version.
+// CandidateShare returns the share of new sessions that get to_version, 0 if the
+// roll-out is not active.
 func (ro Rollout) CandidateShare() float64 {
 	if !ro.Active() {
 		return 0
--- a/policy/route.go
+++ b/policy/route.go
@@ -15,14 +15,15 @@
 	defaultRouteTargetMS  = 2_000
 )
 
-// Route sends requests of a host and path to services.
+// Route maps the requests for a host and a path prefix to services.
 type Route struct {
 	ID RouteID
 	*rpc.Route
 }
 
-// Defaults sets what the record leaves out. A route that does not say what may
-// be repeated repeats nothing.
+// Defaults sets the kind, the timeout, the target and the number of attempts if
+// they are not set. A route without a kind is unsafe: its requests are not
+// repeated.
 func (rt Route) Defaults() {
 	if rt.Kind == rpc.RouteKind_ROUTE_KIND_UNSPECIFIED {
 		rt.Kind = rpc.RouteKind_UNSAFE
@@ -38,14 +39,16 @@
 	}
 }
 
-// Validate finds mistakes.
+// Validate adds a finding to li for a missing host or split, an invalid prefix, a
+// service that does not exist, a negative number, and another route with the same
+// host and prefix.
 func (rt Route) Validate(li *finding.List, pl finding.Place, se *Set) {
 	at := specPlace(pl)
 	if rt.Host == "" {
 		li.Add(at("host"), "missing")
 	}
 	if !strings.HasPrefix(rt.Prefix, "/") || !strings.HasSuffix(rt.Prefix, "/") {
-		li.Add(at("prefix"), "%q does not begin and end with a slash", rt.Prefix)
+		li.Add(at("prefix"), "%q must begin and end with a slash", rt.Prefix)
 	}
 	if len(rt.Splits) == 0 {
 		li.Add(at("splits"), "missing")
@@ -66,29 +69,34 @@
 	}
 	for _, other := range se.Routes.List() {
 		if other.ID != rt.ID && other.Host == rt.Host && other.Prefix == rt.Prefix {
-			li.Add(at("prefix"), "same host and prefix as route %q", other.ID)
+			li.Add(at("prefix"), "route %q has the same host and prefix", other.ID)
 		}
 	}
 }
 
-// Deadline is when a request that arrived at a time must have its final answer.
+// Deadline returns the time by which a request that arrived at the given time must
+// have its final answer.
 func (rt Route) Deadline(arrived time.Time) time.Time {
 	return arrived.Add(time.Duration(rt.TimeoutMs) * time.Millisecond)
 }
 
-// LatencyTarget is the time within which an answer is in time.
+// LatencyTarget returns the longest latency of an answer, or of a stream's first
+// event, that counts as in time.
 func (rt Route) LatencyTarget() time.Duration { return time.Duration(rt.TargetMs) * time.Millisecond }
 
-// GapTarget is the longest pause of a stream that is in time, 0 when none is set.
+// GapTarget returns the longest pause between two events of a stream that counts as
+// in time, 0 if none is set.
 func (rt Route) GapTarget() time.Duration { return time.Duration(rt.GapTargetMs) * time.Millisecond }
 
-// Repeatable tells whether a request may run more than once. A stream may when
-// it can be resumed.
+// Repeatable reports whether a request may run more than once. A stream may if it
+// can be resumed.
 func (rt Route) Repeatable() bool {
 	return rt.Kind == rpc.RouteKind_SAFE || rt.Kind == rpc.RouteKind_STREAM && rt.Resumable
 }
 
-// PickService gives the service for a draw from 0 to 1, by the splits' weights.
+// PickService returns the service for a random number, draw, from 0 to 1. Each
+// service is picked in proportion to the weight of its split; a route without splits
+// returns "".
 func (rt Route) PickService(draw float64) ServiceID {
 	sum := int64(0)
 	for _, sp := range rt.Splits {
@@ -106,7 +114,8 @@
 	return ServiceID(rt.Splits[len(rt.Splits)-1].GetService())
 }
 
-// RouteOf gives the route of a host and path: the one with the longest prefix.
+// RouteOf returns the route of the host with the longest prefix that matches the
+// path.
 func (se *Set) RouteOf(host, path string) (Route, bool) {
 	for _, rt := range se.byHost[host] {
 		if strings.HasPrefix(path, rt.Prefix) {
@@ -116,6 +125,8 @@
 	return Route{}, false
 }
 
+// routesByHost groups routes by host, each group sorted by prefix length, longest
+// first.
 func routesByHost(rts []Route) map[string][]Route {
 	out := map[string][]Route{}
 	for _, rt := range rts {
@@ -127,8 +138,8 @@
 	return out
 }
 
-// ServiceRollout gives the roll-out of a service's release that is under way,
-// or else the one that ended last.
+// ServiceRollout returns the roll-out of a service's release: the active one, or
+// else the one that ended last. There is one record, whose id is the service's.
 func (se *Set) ServiceRollout(id ServiceID) (Rollout, bool) {
 	return se.Rollouts.ByID(RolloutID(id))
 }
--- a/policy/set.go
+++ b/policy/set.go
@@ -9,12 +9,15 @@
 	"tanagerpoint.example/tanager/store"
 )
 
-// Set is all policy records at one revision. It is immutable, and a function
-// of the stored records alone, so daemons at one revision agree.
+// Set is the set of all policy records at one revision. It is immutable and safe
+// for concurrent use. It depends only on the stored records, so that all daemons at
+// the same revision take the same decisions.
 type Set struct {
 	Revision store.Revision
-	// SnapshotRevision is the revision from which on removed records are remembered: what
-	// was removed before is not there at all.
+	// SnapshotRevision is the revision of the last complete read, 0 if there was
+	// none. Records removed after it are kept as tombstones; those removed before
+	// it are not in the set at all, so that ChangedAfter of an earlier revision is
+	// not complete.
 	SnapshotRevision store.Revision
 	byKey            map[string]parsedRecord
 
@@ -30,16 +33,18 @@
 	Routes        Table[RouteID, Route]
 	Limits        Table[LimitsID, Limits]
 
-	// Findings are records that this program cannot use; they count as absent.
+	// Findings lists why records cannot be used. These records count as absent.
 	Findings finding.List
 
 	byCallerKey   map[string]OrganisationID
 	byOperatorKey map[string]OperatorID
-	// byHost lists each host's routes, longest prefix first.
+	// byHost holds the routes of each host, longest prefix first.
 	byHost map[string][]Route
 }
 
-// parsedRecord is one record as stored, with what it parsed to.
+// parsedRecord is a stored record with its parsed form. value is the typed record,
+// for example an Organisation; nil if the record is deleted or cannot be used.
+// findings says why it cannot be used.
 type parsedRecord struct {
 	stored   store.KeyValue
 	record   Record
@@ -47,19 +52,20 @@
 	findings finding.List
 }
 
-// StoredRecord is one record as it lies in the store; Key is relative to the prefix
-// of all records.
+// StoredRecord is one record in its stored form. Key is kind/id, without the store
+// prefix that all records share.
 type StoredRecord struct {
 	Key         string
 	Value       []byte
 	ModRevision store.Revision
 }
 
-// NewSet gives an empty set.
+// NewSet returns an empty set.
 func NewSet() *Set { return (&Set{}).WithChanges(0, nil) }
 
-// WithChanges gives the set after changes that brought it to a revision. Changes that
-// are not newer than what the set has are passed over.
+// WithChanges returns the set with changes applied. A change is ignored if the set
+// already has the record at the same or a greater ModRevision. The new revision is
+// the greatest of the set's, the given one and those of the applied changes.
 func (se *Set) WithChanges(revision store.Revision, changes []StoredRecord) *Set {
 	next := &Set{Revision: max(se.Revision, revision), SnapshotRevision: se.SnapshotRevision, byKey: make(map[string]parsedRecord, len(se.byKey)+len(changes))}
 	for key, pr := range se.byKey {
@@ -76,8 +82,10 @@
 	return next
 }
 
-// WithSnapshot gives the set as a complete read at a revision found it: records
-// that the read lacks are gone, unless they are newer.
+// WithSnapshot returns the set after a complete read of all records at a revision.
+// Records that are missing from the read are removed. A record of the set whose
+// ModRevision is greater than the revision of the read is kept as it is. A record
+// whose text has not changed is not parsed again and keeps its ModRevision.
 func (se *Set) WithSnapshot(revision store.Revision, records []StoredRecord) *Set {
 	next := &Set{Revision: revision, SnapshotRevision: revision, byKey: make(map[string]parsedRecord, len(records))}
 	for key, pr := range se.byKey {
@@ -98,7 +106,8 @@
 	return next
 }
 
-// Live lists the records that are not deleted, as they lie in the store.
+// Live returns the records that are not deleted in stored form, ordered as by
+// ChangedAfter. It includes records that cannot be used.
 func (se *Set) Live() []StoredRecord {
 	return slices.DeleteFunc(se.ChangedAfter(0), func(st StoredRecord) bool {
 		re := se.byKey[st.Key].record.Record
@@ -106,8 +115,8 @@
 	})
 }
 
-// WithRecords gives the set as it would be with records written at the next
-// revision, to be validated before they are.
+// WithRecords returns the set that would result from writing records at the next
+// revision. It is used to validate them before they are written.
 func (se *Set) WithRecords(res []Record) *Set {
 	sts := make([]StoredRecord, len(res))
 	for i, re := range res {
@@ -116,7 +125,8 @@
 	return se.WithChanges(se.Revision+1, sts)
 }
 
-// ChangedAfter lists the records changed after a revision, oldest first.
+// ChangedAfter returns the records changed after a revision, deleted ones included,
+// ordered by ModRevision and then by key.
 func (se *Set) ChangedAfter(revision store.Revision) []StoredRecord {
 	var out []StoredRecord
 	for key, pr := range se.byKey {
@@ -133,8 +143,9 @@
 	return out
 }
 
-// Record gives a record that is not deleted, with the revision of its last
-// change.
+// Record returns a record and the revision of its last change. The boolean is false
+// if the record does not exist, is deleted or has an envelope that cannot be
+// parsed; the revision is 0 if it never existed.
 func (se *Set) Record(ki Kind, id string) (Record, store.Revision, bool) {
 	pr, ok := se.byKey[string(ki)+"/"+id]
 	if !ok || pr.record.Record == nil || pr.record.GetDeleted() {
@@ -143,7 +154,8 @@
 	return pr.record, pr.stored.ModRevision, true
 }
 
-// Records lists the records that are not deleted, by key.
+// Records returns the records that are not deleted and whose envelope can be
+// parsed, sorted by key.
 func (se *Set) Records() []Record {
 	var out []Record
 	for _, pr := range se.byKey {
@@ -155,12 +167,13 @@
 	return out
 }
 
-// Contains tells whether a record's text is the one stored.
+// Contains reports whether the set holds the record with exactly the same text.
 func (se *Set) Contains(re Record) bool {
 	return bytes.Equal(se.byKey[re.Key()].stored.Value, re.JSON)
 }
 
-// IDs lists the records of a kind that are not deleted, usable or not.
+// IDs returns the sorted ids of a kind's records that are not deleted, whether or
+// not they can be used.
 func (se *Set) IDs(ki Kind) []string {
 	var out []string
 	for key, pr := range se.byKey {
@@ -173,10 +186,10 @@
 	return out
 }
 
-// Len counts the records, deleted ones included.
+// Len returns the number of records, deleted ones included.
 func (se *Set) Len() int { return len(se.byKey) }
 
-// OrganisationByKey gives the organisation of a caller's key.
+// OrganisationByKey returns the organisation to which a caller's key belongs.
 func (se *Set) OrganisationByKey(key string) (Organisation, bool) {
 	id, ok := se.byCallerKey[HashKey(key)]
 	if !ok {
@@ -185,7 +198,7 @@
 	return se.Organisations.ByID(id)
 }
 
-// OperatorByKey gives the operator of a key.
+// OperatorByKey returns the operator to which a key belongs.
 func (se *Set) OperatorByKey(key string) (Operator, bool) {
 	id, ok := se.byOperatorKey[HashKey(key)]
 	if !ok {
@@ -194,7 +207,7 @@
 	return se.Operators.ByID(id)
 }
 
-// ActiveRollout gives the roll-out under way for a model.
+// ActiveRollout returns the running or paused roll-out of a model.
 func (se *Set) ActiveRollout(id ModelID) (Rollout, bool) {
 	for _, ro := range se.Rollouts.List() {
 		if ro.Model == string(id) && ro.Active() {
@@ -204,8 +217,9 @@
 	return Rollout{}, false
 }
 
-// RankOrDefault gives the named rank. Without a name it is the least urgent
-// that the organisation may use.
+// RankOrDefault returns the rank with an id. If the id is empty, it returns the
+// least urgent rank that the organisation may use. It does not check that the
+// organisation may use a rank that is given by id.
 func (se *Set) RankOrDefault(or Organisation, id RankID) (Rank, bool) {
 	if id != "" {
 		return se.Ranks.ByID(id)
@@ -219,8 +233,9 @@
 	return best, best.Rank != nil
 }
 
-// Validate finds the mistakes of every record, and of references between them.
-// place gives the place of a record's key.
+// Validate returns the findings of all records that are not deleted, including
+// references to records that do not exist. place returns the place to report for a
+// record's key.
 func (se *Set) Validate(place func(key string) finding.Place) finding.List {
 	var li finding.List
 	for _, re := range se.Records() {
@@ -236,12 +251,18 @@
 	return li
 }
 
-// validator is what the types of all kinds have.
+// validator is implemented by the types of all kinds of records.
 type validator interface {
+	// Defaults sets the defaults of fields that are not set, in the message that
+	// the value embeds. It is called once, before the set is used.
 	Defaults()
+	// Validate adds a finding to li for each mistake in the spec. pl is the place
+	// of the record, se the set in which its references must exist.
 	Validate(li *finding.List, pl finding.Place, se *Set)
 }
 
+// isCallable reports whether a caller may give an id as the model of a chat
+// request: it is the id of a model, a version or a cascade.
 func (se *Set) isCallable(id string) bool {
 	_, model := se.Models.ByID(ModelID(id))
 	_, version := se.Versions.ByID(VersionID(id))
@@ -249,6 +270,8 @@
 	return model || version || cascade
 }
 
+// buildIndexes fills the tables, the indexes and Findings from byKey. It is called
+// once for each new set.
 func (se *Set) buildIndexes() {
 	se.byCallerKey = map[string]OrganisationID{}
 	se.byOperatorKey = map[string]OperatorID{}
@@ -270,6 +293,7 @@
 	se.byHost = routesByHost(se.Routes.List())
 }
 
+// addTyped adds a typed record to the table of its kind. It ignores nil.
 func (se *Set) addTyped(value any) {
 	switch va := value.(type) {
 	case Organisation:
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -17,7 +17,8 @@
 	}
 }
 
-// TestSnapshotRemovesMissingRecords keeps only what is newer than the read.
+// TestSnapshotRemovesMissingRecords checks that a complete read removes the records
+// that it lacks, but does not overwrite a record changed after the read's revision.
 func TestSnapshotRemovesMissingRecords(t *testing.T) {
 	se := policy.NewSet().WithChanges(20, []policy.StoredRecord{rank("gone", 1, 5), rank("kept", 2, 6), rank("newer", 3, 19)})
 	next := se.WithSnapshot(15, []policy.StoredRecord{rank("kept", 2, 6), rank("newer", 4, 12), rank("added", 5, 14)})
--- a/policy/version.go
+++ b/policy/version.go
@@ -7,16 +7,18 @@
 	"tanagerpoint.example/tanager/rpc"
 )
 
-// Model is a line of versions behind one name.
+// Model is a name that callers request. A request for it runs on one of the
+// model's versions.
 type Model struct {
 	ID ModelID
 	*rpc.Model
 }
 
-// Defaults sets nothing.
+// Defaults does nothing: a model has no defaults.
 func (mo Model) Defaults() {}
 
-// Validate finds mistakes.
+// Validate adds a finding to li if the stable version does not exist or belongs to
+// another model.
 func (mo Model) Validate(li *finding.List, pl finding.Place, se *Set) {
 	at := specPlace(pl)
 	ve, ok := se.Versions.ByID(VersionID(mo.StableVersion))
@@ -25,27 +27,29 @@
 		return
 	}
 	if ve.Model != string(mo.ID) {
-		li.Add(at("stable_version"), "version %q is of model %q", mo.StableVersion, ve.Model)
+		li.Add(at("stable_version"), "version %q belongs to model %q", mo.StableVersion, ve.Model)
 	}
 }
 
-// MicroCredits is an amount of money; a million make a credit.
+// MicroCredits is an amount of money in millionths of a credit.
 type MicroCredits int64
 
 // Tokens is a number of tokens.
 type Tokens int64
 
-// creditsPer1KToMicroCreditsPerToken converts a price of schema version 1.
+// creditsPer1KToMicroCreditsPerToken converts a price of schema version 1, in
+// credits per 1000 tokens, to micro-credits per token.
 const creditsPer1KToMicroCreditsPerToken = 1e6 / 1e3
 
-// Version is one trained state of a model.
+// Version is one trained set of weights of a model.
 type Version struct {
 	ID VersionID
 	*rpc.Version
 }
 
-// Defaults sets what the record leaves out. A record of schema version 1 has
-// one price in credits a thousand tokens in place of cost.
+// Defaults sets the state, the engine's model name and the cost if they are not set.
+// A record of schema version 1 has one price for input and output, in credits per
+// 1000 tokens, instead of a cost.
 func (ve Version) Defaults() {
 	if ve.State == rpc.VersionState_VERSION_STATE_UNSPECIFIED {
 		ve.State = rpc.VersionState_LIVE
@@ -59,24 +63,25 @@
 	}
 }
 
-// Validate finds mistakes.
+// Validate adds a finding to li for a model that does not exist, a negative price,
+// and a quality outside 0 to 1.
 func (ve Version) Validate(li *finding.List, pl finding.Place, se *Set) {
 	at := specPlace(pl)
 	if _, ok := se.Models.ByID(ModelID(ve.Model)); !ok {
 		li.Add(at("model"), "no model %q", ve.Model)
 	}
 	if ve.Version.Cost.GetInput() < 0 || ve.Version.Cost.GetOutput() < 0 {
-		li.Add(at("cost"), "a price is negative")
+		li.Add(at("cost"), "input or output price is negative")
 	}
 	if ve.Quality < 0 || ve.Quality > 1 {
-		li.Add(at("quality"), "%v is outside 0 to 1", ve.Quality)
+		li.Add(at("quality"), "%v is not between 0 and 1", ve.Quality)
 	}
 }
 
-// Live tells whether the version may get new work.
+// Live reports whether the version may get new work, that is, is not withdrawn.
 func (ve Version) Live() bool { return ve.State == rpc.VersionState_LIVE }
 
-// Cost gives the price of an answer.
+// Cost returns the price of an answer with the given numbers of tokens.
 func (ve Version) Cost(input, output Tokens) MicroCredits {
 	co := ve.Version.Cost
 	return MicroCredits(int64(input)*co.GetInput() + int64(output)*co.GetOutput())
