--- a/store/client.go
+++ b/store/client.go
@@ -18,22 +18,26 @@
 	"tanagerpoint.example/tanager/rpc"
 )
 
-// maxResponseBytes bounds what one read may bring.
+// maxResponseBytes is the largest response that call reads.
 const maxResponseBytes = 64 << 20
 
-// idleConnTimeout is how long a pooled connection is trusted.
+// idleConnTimeout is how long an idle pooled connection is reused, as in package
+// network: something between the ends may forget the connection after that.
 const idleConnTimeout = 3 * time.Second
 
-// Options say how a Client reaches the store.
+// Options configure a Client.
 type Options struct {
-	URLs          []string
-	Timeout       time.Duration
+	// URLs are the base URLs of the store's servers. There must be at least one.
+	URLs []string
+	// Timeout limits each call except Watch.
+	Timeout time.Duration
+	// WatchProgress is how long a watch may receive nothing before it fails.
 	WatchProgress time.Duration
-	// Dial replaces the network in tests.
+	// Dial opens connections; nil is the default of net/http. Tests replace it.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// OptionsOf gives the options that settings ask for.
+// OptionsOf returns the options given by a daemon's settings.
 func OptionsOf(se *rpc.StoreSection, dial func(ctx context.Context, network, address string) (net.Conn, error)) Options {
 	return Options{
 		URLs: se.GetUrls(), Timeout: se.GetTimeout().AsDuration(),
@@ -41,17 +45,19 @@
 	}
 }
 
-// Client is a Store over HTTP. It is safe for concurrent use.
+// Client implements Store over HTTP. It is safe for concurrent use.
 type Client struct {
-	opt      Options
-	http     *http.Client
+	opt  Options
+	http *http.Client
+	// urlIndex, modulo the number of URLs, selects the URL of the next call. It is
+	// incremented when a call fails.
 	urlIndex atomic.Uint64
 	calls    atomic.Int64
 }
 
 var _ Store = (*Client)(nil)
 
-// NewClient gives a client. It connects when it is first used.
+// NewClient returns a client. It opens no connection before the first call.
 func NewClient(opt Options) *Client {
 	tr := &http.Transport{
 		DialContext:         opt.Dial,
@@ -61,17 +67,19 @@
 	return &Client{opt: opt, http: &http.Client{Transport: tr}}
 }
 
-// Close ends the pooled connections.
+// Close closes the idle pooled connections.
 func (cl *Client) Close() { cl.http.CloseIdleConnections() }
 
-// Calls counts the calls made so far.
+// Calls returns the number of calls made so far, watches included.
 func (cl *Client) Calls() int64 { return cl.calls.Load() }
 
 func (cl *Client) url(path string) string {
 	return cl.opt.URLs[cl.urlIndex.Load()%uint64(len(cl.opt.URLs))] + path
 }
 
-// send posts a message. The boolean tells whether the store may have seen it.
+// send posts ms as JSON and returns the response if its status is 200; the caller
+// must close the body. The boolean reports whether the store may have received the
+// message, that is, whether a connection was obtained.
 func (cl *Client) send(ctx context.Context, path string, ms any) (*http.Response, bool, error) {
 	bd, err := json.Marshal(ms)
 	if err != nil {
@@ -84,6 +92,7 @@
 	if err != nil {
 		return nil, false, eris.Wrap(err, "Client.send")
 	}
+	// Without GetBody, net/http cannot send the request a second time.
 	rq.GetBody = nil
 	rs, err := cl.http.Do(rq)
 	if err != nil {
@@ -94,12 +103,13 @@
 		text, _ := io.ReadAll(io.LimitReader(rs.Body, 512))
 		_ = rs.Body.Close()
 		cl.urlIndex.Add(1)
-		return nil, sent.Load(), eris.Errorf("%s answered %s: %s", path, rs.Status, text)
+		return nil, sent.Load(), eris.Errorf("%s returned status %s: %s", path, rs.Status, text)
 	}
 	return rs, true, nil
 }
 
-// call posts a message and decodes the answer within the client's timeout.
+// call posts ms and decodes the response into answer, within Options.Timeout. The
+// boolean is that of send.
 func (cl *Client) call(ctx context.Context, path string, ms, answer any) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, cl.opt.Timeout)
 	defer cancel()
@@ -150,18 +160,20 @@
 		return nil, err
 	}
 	if len(rs.Responses) != len(cos) {
-		return nil, eris.Wrapf(ErrOutcomeUnknown, "Client.ApplyEach: %d answers to %d commits", len(rs.Responses), len(cos))
+		return nil, eris.Wrapf(ErrOutcomeUnknown, "Client.ApplyEach: got %d results for %d commits", len(rs.Responses), len(cos))
 	}
 	ous := make([]Outcome, len(cos))
 	for i, re := range rs.Responses {
 		if re.Txn == nil {
-			return nil, eris.Wrap(ErrOutcomeUnknown, "Client.ApplyEach: answer without txn")
+			return nil, eris.Wrap(ErrOutcomeUnknown, "Client.ApplyEach: result is not of a transaction")
 		}
 		ous[i] = outcomeFromWire(*re.Txn, rs.Header.Revision)
 	}
 	return ous, nil
 }
 
+// transact runs a transaction. Its error is ErrOutcomeUnknown if the store may have
+// received the transaction, and ErrUnavailable if not.
 func (cl *Client) transact(ctx context.Context, op string, tx WireTxn, rs *WireTxnResponse) error {
 	sent, err := cl.call(ctx, "/v3/kv/txn", tx, rs)
 	if err == nil {
@@ -174,7 +186,8 @@
 	return eris.Wrapf(errors.Join(kind, err), "Client.%s", op)
 }
 
-// Watch implements Store.
+// Watch implements Store. The watch fails after Options.WatchProgress without a
+// message, also if report blocks for that long.
 func (cl *Client) Watch(ctx context.Context, prefix Key, from Revision, report func(WatchUpdate)) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -206,6 +219,7 @@
 	}
 }
 
+// updateFromWire converts a message of a watch.
 func updateFromWire(re WireWatchResult) WatchUpdate {
 	no := WatchUpdate{Revision: Revision(re.Header.Revision)}
 	for _, ev := range re.Events {
@@ -214,7 +228,7 @@
 	return no
 }
 
-// Grant implements Store.
+// Grant implements Store. It rounds ttl up to whole seconds, the unit of etcd.
 func (cl *Client) Grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	var le WireLease
 	rq := WireLeaseGrant{TTL: int64(math.Ceil(ttl.Seconds()))}
@@ -242,6 +256,8 @@
 	return nil
 }
 
+// txnFromCommit returns the etcd transaction for a commit. If a compare fails, the
+// transaction reads the compared keys for Outcome.Found.
 func txnFromCommit(co Commit) WireTxn {
 	var tx WireTxn
 	for _, cm := range co.Compares {
@@ -257,6 +273,8 @@
 	return tx
 }
 
+// outcomeFromWire converts the response to a commit's transaction. revision is the
+// one in the header of the whole response.
 func outcomeFromWire(rs WireTxnResponse, revision int64) Outcome {
 	ou := Outcome{Applied: rs.Succeeded, Revision: Revision(revision)}
 	if rs.Succeeded {
--- a/store/resolve.go
+++ b/store/resolve.go
@@ -16,13 +16,14 @@
 	maxResolveBackoff     = 500 * time.Millisecond
 )
 
-// ApplyResolved makes a commit and, when its answer is lost, makes the same
-// commit again until an answer comes or ctx ends. The commit must compare a
-// key that it writes, so that only one of the tries can take effect; own tells
-// whether the pairs found by a refused try show that an earlier one did.
+// ApplyResolved applies a commit. If the outcome is unknown, it applies the same
+// commit again, with exponential backoff, until it gets an answer or ctx is done.
+// The commit must compare a key that it writes, so that at most one of the attempts
+// can take effect. isOwn reports whether the pairs found by a refused attempt show
+// that an earlier attempt took effect; the outcome is then Applied.
 //
-// The error is ErrUnavailable when no try can have taken effect, ErrUnknown
-// when one may have.
+// The error is ErrUnavailable if no attempt can have taken effect, and
+// ErrOutcomeUnknown if one may have.
 func ApplyResolved(ctx context.Context, st Store, co Commit, isOwn func(found []KeyValue) bool) (Outcome, error) {
 	bo := backoff.NewExponentialBackOff()
 	bo.InitialInterval, bo.MaxInterval = initialResolveBackoff, maxResolveBackoff
--- a/store/store.go
+++ b/store/store.go
@@ -1,5 +1,6 @@
-// Package store reaches the platform's key-value service. Client speaks the
-// JSON form of the etcd v3 API over HTTP; the rest of the system sees Store.
+// Package store accesses the platform's key-value service. The rest of the system
+// uses the interface Store. Client implements it with the JSON gateway of the etcd
+// v3 API over HTTP; package platform has another implementation.
 package store
 
 import (
@@ -12,13 +13,14 @@
 // Key is a key in the store.
 type Key string
 
-// Revision counts the store's changes; it only rises.
+// Revision is the store's revision number, which increases with every change.
 type Revision int64
 
-// LeaseID names a lease that the store granted.
+// LeaseID identifies a lease granted by the store.
 type LeaseID int64
 
-// KeyValue is one pair as stored.
+// KeyValue is one stored pair, with the revisions at which it was created and last
+// changed.
 type KeyValue struct {
 	Key            Key
 	Value          []byte
@@ -26,79 +28,90 @@
 	ModRevision    Revision
 }
 
-// ReadResult is what a read found at one revision.
+// ReadResult holds the pairs that a read found, and the store's revision. Where a
+// read takes several calls, as in package platform, the revision is that of the
+// first call, and the pairs may include later changes.
 type ReadResult struct {
 	Revision  Revision
 	KeyValues []KeyValue
 }
 
-// Compare holds when the key's last change is at ModRevision. 0: no such key.
+// Compare is a condition: the key was last changed at ModRevision, or, if
+// ModRevision is 0, the key does not exist.
 type Compare struct {
 	Key         Key
 	ModRevision Revision
 }
 
-// Put writes one pair, bound to a lease unless Lease is 0.
+// Put writes one pair. If Lease is not 0, the pair is deleted when the lease ends.
 type Put struct {
 	Key   Key
 	Value []byte
 	Lease LeaseID
 }
 
-// Commit is a compare-and-swap: every put takes effect or none does.
+// Commit is a transaction: if all compares hold, all puts and deletes take effect,
+// otherwise none does.
 type Commit struct {
 	Compares []Compare
 	Puts     []Put
 	Deletes  []Key
 }
 
-// Outcome tells whether a commit took effect. Found holds the current pairs of
-// the compared keys when it did not.
+// Outcome is the result of a commit. Applied is set if it took effect. If not, Found
+// holds the current pairs of the compared keys. Revision is the store's revision
+// after the call.
 type Outcome struct {
 	Applied  bool
 	Revision Revision
 	Found    []KeyValue
 }
 
-// Change is one watched change. Deleted pairs have no value.
+// Change is one change reported by a watch. A deleted pair has no value.
 type Change struct {
 	KeyValue KeyValue
 	Deleted  bool
 }
 
-// WatchUpdate is what a watch reports: changes up to Revision, or only that it is
-// alive when Changes is empty.
+// WatchUpdate is one message of a watch: the changes up to Revision, or, if Changes
+// is empty, only a sign that the watch is alive.
 type WatchUpdate struct {
 	Revision Revision
 	Changes  []Change
 }
 
-// ErrOutcomeUnknown marks a commit whose answer was lost: it may have taken effect.
+// ErrOutcomeUnknown is the error of a commit that may have reached the store, but
+// whose outcome was not received. It may have taken effect.
 var ErrOutcomeUnknown = eris.New("store: outcome unknown")
 
-// ErrUnavailable marks a call that did not take effect.
+// ErrUnavailable is the error of a read, watch or lease call that failed, or of a
+// commit that did not reach the store and so did not take effect.
 var ErrUnavailable = eris.New("store: unavailable")
 
-// ErrCompacted marks a watch from a revision that the store no longer has.
+// ErrCompacted is the error of a watch from a revision that the store has
+// compacted. The caller must read all pairs again.
 var ErrCompacted = eris.New("store: revision compacted")
 
-// Store is the platform's key-value service. Errors are ErrUnavailable or, for
-// commits, ErrUnknown, wrapped with their cause.
+// Store is the platform's key-value service. The error of a method wraps
+// ErrUnavailable and its cause. That of Apply and ApplyEach may wrap
+// ErrOutcomeUnknown instead, that of Watch ErrCompacted.
 type Store interface {
-	// Range reads all pairs under a prefix.
+	// Range reads all pairs whose key has a prefix.
 	Range(ctx context.Context, prefix Key) (ReadResult, error)
-	// Get reads one pair; the page is empty when there is none.
+	// Get reads one pair. The result has no pairs if the key does not exist.
 	Get(ctx context.Context, key Key) (ReadResult, error)
-	// Apply makes one commit.
+	// Apply applies one commit.
 	Apply(ctx context.Context, co Commit) (Outcome, error)
-	// ApplyEach makes independent commits in one call.
+	// ApplyEach applies independent commits in one call and returns the outcome of
+	// each, in the same order.
 	ApplyEach(ctx context.Context, cos []Commit) ([]Outcome, error)
-	// Watch reports changes under a prefix from a revision on, until the
-	// connection ends, stays silent for too long, or ctx ends.
+	// Watch calls report with the changes under a prefix from a revision on. It
+	// blocks until ctx is done, or until the watch fails or receives nothing for
+	// too long, and always returns an error.
 	Watch(ctx context.Context, prefix Key, from Revision, report func(WatchUpdate)) error
-	// Grant makes a lease.
+	// Grant creates a lease with a time to live.
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, error)
-	// KeepAlive renews a lease; false when it has lapsed.
+	// KeepAlive renews a lease. It returns false if the lease has expired.
 	KeepAlive(ctx context.Context, id LeaseID) (bool, error)
 	// Revoke ends a lease and deletes its pairs.
 	Revoke(ctx context.Context, id LeaseID) error
--- a/store/wire.go
+++ b/store/wire.go
@@ -1,7 +1,7 @@
 package store
 
-// The types below are the messages of the etcd v3 JSON gateway that the client
-// uses. Keys and values are base64, numbers of 64 bits are strings there.
+// The types below are the messages of the etcd v3 JSON gateway that Client uses.
+// The gateway encodes keys and values in base64, and 64-bit integers as strings.
 
 // WireHeader is etcd's ResponseHeader.
 type WireHeader struct {
@@ -43,7 +43,7 @@
 	Lease int64  `json:"lease,string,omitempty"`
 }
 
-// WireOp is etcd's RequestOp: one of its fields is set.
+// WireOp is etcd's RequestOp. Exactly one field is set.
 type WireOp struct {
 	Range  *WireRange `json:"request_range,omitempty"`
 	Put    *WirePut   `json:"request_put,omitempty"`
@@ -84,7 +84,7 @@
 	ProgressNotify bool   `json:"progress_notify"`
 }
 
-// WireWatchLine is one line of the watch's answer.
+// WireWatchLine is one line of the response stream of a watch.
 type WireWatchLine struct {
 	Result WireWatchResult `json:"result"`
 }
@@ -109,18 +109,21 @@
 	TTL int64 `json:"TTL,string"`
 }
 
-// WireLease is etcd's lease answer and its keep-alive and revoke request.
+// WireLease is etcd's response to a lease call, and its request to keep alive or
+// revoke a lease. TTL is in seconds.
 type WireLease struct {
 	ID  int64 `json:"ID,string"`
 	TTL int64 `json:"TTL,string,omitempty"`
 }
 
-// WireKeepAlive is the line that answers a keep-alive.
+// WireKeepAlive is the response line of a keep-alive.
 type WireKeepAlive struct {
 	Result WireLease `json:"result"`
 }
 
-// PrefixEnd gives the key after the last one with the prefix.
+// PrefixEnd returns the end of the range of keys with a prefix, exclusive: the
+// smallest key that is greater than all of them. If there is none, it returns a
+// zero byte, which etcd takes as no upper bound.
 func PrefixEnd(prefix Key) []byte {
 	end := []byte(prefix)
 	for i := len(end) - 1; i >= 0; i-- {
