--- a/rating/rating.go
+++ b/rating/rating.go
@@ -1,5 +1,5 @@
-// Package rating reaches the rating service: answers go to it, their ratings
-// come back late and not for all.
+// Package rating is a client of the rating service. Answers are submitted to the
+// service; their ratings can be read later. Not every answer gets a rating.
 package rating
 
 import (
@@ -17,11 +17,12 @@
 )
 
 const (
-	callTimeout      = 2 * time.Second
+	callTimeout = 2 * time.Second
+	// maxResponseBytes is the length to which a response is cut off.
 	maxResponseBytes = 8 << 20
 )
 
-// Answer is an answer to be rated.
+// Answer is an answer submitted for rating.
 type Answer struct {
 	RequestID string          `json:"request_id"`
 	Cascade   string          `json:"cascade"`
@@ -31,7 +32,8 @@
 	Text      string          `json:"text"`
 }
 
-// Rating is one answer's rating. Quality is from 0 to 1.
+// Rating is the rating of one answer. Sequence orders the ratings, for
+// RatingsAfter. Quality is from 0 to 1.
 type Rating struct {
 	Sequence  int64   `json:"sequence"`
 	RequestID string  `json:"request_id"`
@@ -41,40 +43,43 @@
 	Quality   float64 `json:"quality"`
 }
 
-// Client reaches the rating service.
+// Client calls the rating service. It is safe for concurrent use.
 type Client struct {
 	url    string
 	client *http.Client
 }
 
-// NewClient gives a service at a base URL.
+// NewClient returns a client of the service at a base URL.
 func NewClient(url string, ne network.Network) *Client {
 	return &Client{url: url, client: ne.Client(2)}
 }
 
-// Close ends the pooled connections.
+// Close closes the idle pooled connections.
 func (cl *Client) Close() { cl.client.CloseIdleConnections() }
 
-// Submit hands an answer in to be rated.
+// Submit sends an answer to be rated.
 func (cl *Client) Submit(ctx context.Context, an Answer) error {
 	body, err := json.Marshal(an)
 	if err != nil {
-		return eris.Wrap(err, "Service.Submit")
+		return eris.Wrap(err, "Client.Submit")
 	}
 	_, err = cl.call(ctx, http.MethodPost, "/v1/answers", body)
-	return eris.Wrap(err, "Service.Submit")
+	return eris.Wrap(err, "Client.Submit")
 }
 
-// RatingsAfter lists the ratings after a sequence number.
+// RatingsAfter returns the ratings with a greater sequence number than the given
+// one.
 func (cl *Client) RatingsAfter(ctx context.Context, sequence int64) ([]Rating, error) {
 	text, err := cl.call(ctx, http.MethodGet, "/v1/ratings?after="+strconv.FormatInt(sequence, 10), nil)
 	if err != nil {
-		return nil, eris.Wrap(err, "Service.After")
+		return nil, eris.Wrap(err, "Client.RatingsAfter")
 	}
 	var ras []Rating
-	return ras, eris.Wrap(json.Unmarshal(text, &ras), "Service.After")
+	return ras, eris.Wrap(json.Unmarshal(text, &ras), "Client.RatingsAfter")
 }
 
+// call sends a request and returns the body of the response, within callTimeout. A
+// status of 400 or above is an error.
 func (cl *Client) call(ctx context.Context, method, path string, body []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -88,7 +93,7 @@
 	}
 	defer func() { _ = rs.Body.Close() }()
 	if rs.StatusCode >= http.StatusBadRequest {
-		return nil, eris.Errorf("%s", rs.Status)
+		return nil, eris.Errorf("rating service returned status %s", rs.Status)
 	}
 	return io.ReadAll(io.LimitReader(rs.Body, maxResponseBytes))
 }
