--- a/finding/finding.go
+++ b/finding/finding.go
@@ -1,5 +1,5 @@
-// Package finding collects mistakes in settings and policy records, each with
-// its place, so that all of them are reported together.
+// Package finding collects the mistakes found in settings and policy records, each
+// with its place, so that they can be reported all at once.
 package finding
 
 import (
@@ -7,15 +7,17 @@
 	"strings"
 )
 
-// Place says where a finding is. Section is an INI section or a record, Key an
-// INI key or a field.
+// Place is where a mistake was found. Section is an INI section or the key of a
+// policy record, Key an INI key or the path of a record's field. Each field may be
+// empty.
 type Place struct {
 	File    string
 	Section string
 	Key     string
 }
 
-// String gives the place as file: [section] key, leaving out what is empty.
+// String returns the place in the form "file: [section] key", without the parts
+// that are empty.
 func (pl Place) String() string {
 	var parts []string
 	if pl.File != "" {
@@ -30,26 +32,27 @@
 	return strings.Join(parts, " ")
 }
 
-// Finding is one mistake.
+// Finding is one mistake and its place.
 type Finding struct {
 	Place   Place
 	Message string
 }
 
-// String gives the place and the message.
+// String returns the place and the message in the form "place: message".
 func (fi Finding) String() string {
 	return fmt.Sprintf("%s: %s", strings.TrimSuffix(fi.Place.String(), ":"), fi.Message)
 }
 
-// List collects findings. It is an error when it is not empty.
+// List is a list of findings. It implements error; Err returns it as one only if it
+// is not empty.
 type List []Finding
 
-// Add appends a finding.
+// Add appends a finding, with a message formatted as by fmt.Sprintf.
 func (li *List) Add(pl Place, format string, args ...any) {
 	*li = append(*li, Finding{Place: pl, Message: fmt.Sprintf(format, args...)})
 }
 
-// Error gives one finding a line.
+// Error returns the findings, one per line.
 func (li List) Error() string {
 	lines := make([]string, len(li))
 	for i, fi := range li {
@@ -58,7 +61,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Err gives the list as an error, nil when it is empty.
+// Err returns the list as an error, or nil if it is empty.
 func (li List) Err() error {
 	if len(li) == 0 {
 		return nil
