--- a/endpoint/endpoint.go
+++ b/endpoint/endpoint.go
@@ -1,10 +1,10 @@
-// Package endpoint sends requests to model engines and plain services and
-// reads their answers. It says of each failure whether the endpoint may have
-// seen the request.
+// Package endpoint sends requests to model engines and plain services and reads
+// their answers. Each Failure reports whether the endpoint may have received the
+// request.
 //
-// Engines speak the OpenAI chat completions API. Their streams number each
-// server-sent event, and a stream that broke is asked for again with
-// Last-Event-ID, as the HTML standard describes.
+// Engines implement the OpenAI chat completions API. They number the server-sent
+// events of a stream. If a stream breaks, the client requests the rest of it with
+// the header Last-Event-ID, which the HTML standard defines.
 package endpoint
 
 import (
@@ -23,47 +23,60 @@
 	"tanagerpoint.example/tanager/network"
 )
 
-// AttemptID names one sending of a request to one endpoint.
+// AttemptID identifies one attempt: a request sent once to one endpoint.
 type AttemptID string
 
-// Cause says why an attempt failed.
+// Cause is the reason why an attempt failed.
 type Cause string
 
-// The causes.
+// The causes of failures.
 const (
+	// CauseUnreachable means that no connection was obtained, so that nothing was
+	// sent.
 	CauseUnreachable Cause = "unreachable"
-	CauseRefused     Cause = "refused"
-	CauseBroken      Cause = "broken"
-	CauseSilent      Cause = "silent"
-	CauseMismatched  Cause = "mismatched"
-	CauseTooLarge    Cause = "too_large"
+	// CauseRefused means that the endpoint answered with an error status.
+	CauseRefused Cause = "refused"
+	// CauseBroken means that the connection failed before the answer was complete.
+	CauseBroken Cause = "broken"
+	// CauseSilent means that nothing was received within the timeout.
+	CauseSilent Cause = "silent"
+	// CauseMismatched means that the answer belongs to another request.
+	CauseMismatched Cause = "mismatched"
+	// CauseTooLarge means that the answer exceeds the size limit of the call.
+	CauseTooLarge Cause = "too_large"
 )
 
 const (
-	// HeaderAttempt carries the attempt's id to the endpoint.
+	// HeaderAttempt is the request header with the attempt's id. An endpoint may
+	// return it in its answer.
 	HeaderAttempt = "X-Request-Id"
-	// HeaderLoad carries an endpoint's load back, in the form of the Open
-	// Request Cost Aggregation standard.
+	// HeaderLoad is the response header with the endpoint's load, in the format of
+	// the Open Request Cost Aggregation (ORCA) standard.
 	HeaderLoad = "Endpoint-Load-Metrics"
-	// HeaderPriority carries a priority to a plain service.
+	// HeaderPriority is the request header with the priority of a call to a plain
+	// service.
 	HeaderPriority = "X-Priority"
 
+	// maxErrorBytes is how much of the body of an error answer is kept.
 	maxErrorBytes = 4096
 )
 
 // Failure is a failed attempt.
 type Failure struct {
 	Cause Cause
-	// Sent tells whether a byte of the request may have reached the endpoint.
+	// Sent is set if part of the request may have reached the endpoint, which may
+	// then have run it.
 	Sent bool
-	// Status is the endpoint's HTTP status, 0 when there was none.
+	// Status is the HTTP status if the cause is CauseRefused, 0 otherwise.
 	Status int
-	// Body is the start of the endpoint's own error.
+	// Body is the start of the body of an error answer.
 	Body []byte
-	Err  error
+	// Err is the underlying error, nil if the cause is CauseRefused.
+	Err error
 }
 
-// Error gives the cause and what lay behind it.
+// Error returns the status and body of an error answer, or else the cause and the
+// underlying error.
 func (fa *Failure) Error() string {
 	if fa.Status != 0 {
 		return fmt.Sprintf("endpoint answered %d: %s", fa.Status, fa.Body)
@@ -71,27 +84,29 @@
 	return fmt.Sprintf("endpoint %s: %v", fa.Cause, fa.Err)
 }
 
-// Unwrap gives what lay behind the failure.
+// Unwrap returns the underlying error.
 func (fa *Failure) Unwrap() error { return fa.Err }
 
-// InvalidRequest tells whether the endpoint found the request itself wrong, so
-// that another endpoint would as well.
+// InvalidRequest reports whether the endpoint rejected the request itself, so that
+// another endpoint would reject it too. The statuses 408 and 429 depend on the
+// endpoint and do not count.
 func (fa *Failure) InvalidRequest() bool {
 	return fa.Status >= 400 && fa.Status < 500 && fa.Status != http.StatusTooManyRequests && fa.Status != http.StatusRequestTimeout
 }
 
-// Load is what an endpoint says of itself. Utilisation is requests in service
-// for each slot.
+// Load is the load that an endpoint reports. Utilisation is the number of requests
+// in service divided by the number of slots. Known is false if the endpoint reports
+// none.
 type Load struct {
 	Utilisation float64
 	Known       bool
 }
 
-// loadKey is the standard's name of a utilisation.
+// loadKey is the name of the utilisation in the ORCA standard.
 const loadKey = "application_utilization" //nolint:misspell // as in the standard
 
-// parseLoad reads the header; its text form is "TEXT key=value, key=value",
-// its JSON form "JSON {...}".
+// parseLoad parses the value of HeaderLoad, in its text form "TEXT key=value,
+// key=value" or its JSON form "JSON {...}".
 func parseLoad(header string) Load {
 	if text, ok := strings.CutPrefix(header, "JSON "); ok {
 		va := gjson.Get(text, loadKey)
@@ -106,7 +121,7 @@
 	return Load{}
 }
 
-// FormatLoad gives the header's value for a utilisation.
+// FormatLoad returns the value of HeaderLoad for a utilisation, in text form.
 func FormatLoad(utilisation float64) string {
 	return fmt.Sprintf("TEXT %s=%.3f", loadKey, utilisation)
 }
@@ -121,31 +136,37 @@
 	resumed  atomic.Int64
 }
 
-// NewClient gives a client; progress is the longest silence of a connection.
+// NewClient returns a client. progress is the longest time for which a connection
+// may receive nothing.
 func NewClient(ne network.Network, progress time.Duration) *Client {
 	return &Client{pooled: ne.Client(64), unpooled: ne.FreshClient(), progress: progress}
 }
 
-// Close ends the pooled connections.
+// Close closes the idle pooled connections.
 func (cl *Client) Close() { cl.pooled.CloseIdleConnections() }
 
-// Dropped counts answers that belonged to another request.
+// Dropped returns the number of answers and chunks that were dropped because they
+// belonged to another request.
 func (cl *Client) Dropped() int64 { return cl.dropped.Load() }
 
-// Resumed counts streams that went on over a new connection.
+// Resumed returns how often a stream was resumed on a new connection.
 func (cl *Client) Resumed() int64 { return cl.resumed.Load() }
 
-// connection is a request under way whose silence is watched.
+// connection is a request in progress. It is cancelled when nothing is received for
+// too long.
 type connection struct {
 	response *http.Response
 	cancel   context.CancelFunc
 	timer    *time.Timer
-	silent   *atomic.Bool
+	// silent is set when timer has cancelled the request.
+	silent *atomic.Bool
+	// progress is the longest time without a byte of the body.
 	progress time.Duration
 }
 
-// open sends a request and waits for the answer's head. wait bounds the
-// silence before it.
+// open sends a request and blocks until it has the answer's header. A timer cancels
+// the request after wait, unless a Read that returns data has restarted it with the
+// connection's progress. The caller must close the connection.
 func (cl *Client) open(ctx context.Context, hc *http.Client, rq *http.Request, wait time.Duration) (*connection, *Failure) {
 	ctx, cancel := context.WithCancel(ctx)
 	co := &connection{cancel: cancel, silent: &atomic.Bool{}, progress: cl.progress}
@@ -172,7 +193,7 @@
 	return co, nil
 }
 
-// Read reads from the answer's body; each byte puts off the silence's end.
+// Read reads from the answer's body. Each read that returns data restarts the timer.
 func (co *connection) Read(buf []byte) (int, error) {
 	n, err := co.response.Body.Read(buf)
 	if n > 0 {
@@ -181,6 +202,7 @@
 	return n, err
 }
 
+// close cancels the request, if it is still in progress, and closes the body.
 func (co *connection) close() {
 	co.timer.Stop()
 	co.cancel()
@@ -189,7 +211,7 @@
 	}
 }
 
-// readFailure gives the failure for an error while reading.
+// readFailure returns the failure for an error of Read.
 func (co *connection) readFailure(err error) *Failure {
 	cause := CauseBroken
 	if co.silent.Load() {
@@ -198,7 +220,7 @@
 	return &Failure{Cause: cause, Sent: true, Err: err}
 }
 
-// readRefusal reads an answer that is an error.
+// readRefusal reads an error answer, closes the connection and returns the failure.
 func (co *connection) readRefusal() *Failure {
 	defer co.close()
 	body, _ := io.ReadAll(io.LimitReader(co, maxErrorBytes))
--- a/endpoint/forward.go
+++ b/endpoint/forward.go
@@ -10,34 +10,38 @@
 	"time"
 )
 
-// ForwardCall is one attempt whose request is carried as it came.
+// ForwardCall is one attempt to forward a caller's request unchanged.
 type ForwardCall struct {
+	// URL is the endpoint's base URL.
 	URL    string
 	Method string
-	// Target is the request target, path and query as the caller wrote them.
+	// Target is the request target, path and query, exactly as the caller sent it.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Repeatable calls may use a pooled connection.
+	// Repeatable is set if the request may run more than once. The call may then use
+	// a pooled connection, on which net/http may send a request again by itself.
 	Repeatable bool
-	// HeaderDeadline is when the answer's head must have come.
+	// HeaderDeadline is when the answer's header must have been received.
 	HeaderDeadline time.Time
-	// Progress is the longest silence after the head.
+	// Progress is the longest time without a byte of the answer's body, after its
+	// header.
 	Progress time.Duration
 }
 
-// ForwardAnswer is an answer whose body is being read. It is used by one
-// goroutine, and must be closed.
+// ForwardAnswer is an answer whose body has not been read yet. It is not safe for
+// concurrent use, and must be closed.
 type ForwardAnswer struct {
 	Status int
 	Header http.Header
-	// Length is the body's, -1 when it is not known.
+	// Length is the length of the body in bytes, -1 if it is not known.
 	Length int64
 	conn   *connection
 }
 
-// Forward sends a call and waits for the answer's head. The error is a *Failure.
+// Forward sends a call and blocks until it has the answer's header. The error is a
+// *Failure.
 func (cl *Client) Forward(ctx context.Context, ca ForwardCall) (*ForwardAnswer, error) {
 	rq, err := ca.request()
 	if err != nil {
@@ -57,13 +61,15 @@
 	return &ForwardAnswer{Status: rs.StatusCode, Header: rs.Header, Length: rs.ContentLength, conn: co}, nil
 }
 
+// request returns the HTTP request. An Opaque URL keeps net/http from re-encoding
+// the caller's path.
 func (ca ForwardCall) request() (*http.Request, error) {
 	rq, err := http.NewRequest(ca.Method, ca.URL, nil)
 	if err != nil {
 		return nil, err
 	}
-	path, query, asked := strings.Cut(ca.Target, "?")
-	rq.URL = &url.URL{Scheme: rq.URL.Scheme, Host: rq.URL.Host, Opaque: path, RawQuery: query, ForceQuery: asked && query == ""}
+	path, query, hasQuery := strings.Cut(ca.Target, "?")
+	rq.URL = &url.URL{Scheme: rq.URL.Scheme, Host: rq.URL.Host, Opaque: path, RawQuery: query, ForceQuery: hasQuery && query == ""}
 	rq.Host, rq.Header = ca.Host, ca.Header
 	if len(ca.Body) > 0 || !ca.Repeatable {
 		// Without GetBody, net/http cannot send the request a second time.
@@ -71,17 +77,18 @@
 		rq.ContentLength = int64(len(ca.Body))
 	}
 	if _, ok := rq.Header["User-Agent"]; !ok {
-		rq.Header["User-Agent"] = []string{""} // keeps net/http from adding its own
+		rq.Header["User-Agent"] = []string{""} // prevents net/http from adding its own
 	}
 	return rq, nil
 }
 
-// Read reads the body; each byte puts off the silence's end.
+// Read reads from the body. Each read that returns data restarts the timeout
+// ForwardCall.Progress.
 func (an *ForwardAnswer) Read(buf []byte) (int, error) { return an.conn.Read(buf) }
 
-// ReadFailure gives the failure for an error of Read.
+// ReadFailure returns the failure for an error of Read.
 func (an *ForwardAnswer) ReadFailure(err error) *Failure { return an.conn.readFailure(err) }
 
-// Close ends the answer. The connection is closed unless the body was read to
+// Close closes the body. It also closes the connection, unless the body was read to
 // its end.
 func (an *ForwardAnswer) Close() { an.conn.close() }
--- a/endpoint/plain.go
+++ b/endpoint/plain.go
@@ -10,23 +10,27 @@
 	"github.com/rotisserie/eris"
 )
 
-// PlainCall is one attempt at a plain service.
+// PlainCall is one attempt to call a plain service.
 type PlainCall struct {
+	// URL is the endpoint's base URL.
 	URL     string
 	Attempt AttemptID
 	Method  string
-	// Path starts with a slash and may carry a query.
+	// Path begins with a slash and may include a query.
 	Path   string
 	Header http.Header
 	Body   []byte
-	// Repeatable calls may use a pooled connection, on which net/http may send
-	// a request again by itself.
+	// Repeatable is set if the call may run more than once. It may then use a
+	// pooled connection, on which net/http may send a request again by itself.
 	Repeatable bool
-	Deadline   time.Time
-	MaxBytes   int64
+	// Deadline is when the first byte of the answer's body must have been received.
+	// After that, the client's progress is the longest time without a byte.
+	Deadline time.Time
+	// MaxBytes is the largest size of the answer's body.
+	MaxBytes int64
 }
 
-// PlainAnswer is a plain service's whole answer.
+// PlainAnswer is the complete answer of a plain service.
 type PlainAnswer struct {
 	Status int
 	Header http.Header
@@ -34,7 +38,7 @@
 	Load   Load
 }
 
-// CallPlain sends a call and reads the whole answer. The error is a *Failure.
+// CallPlain sends a call and reads the complete answer. The error is a *Failure.
 func (cl *Client) CallPlain(ctx context.Context, ca PlainCall) (PlainAnswer, error) {
 	rq, err := http.NewRequest(ca.Method, ca.URL+ca.Path, bytes.NewReader(ca.Body))
 	if err != nil {
--- a/endpoint/stream.go
+++ b/endpoint/stream.go
@@ -16,42 +16,47 @@
 
 const (
 	chatPath = "/v1/chat/completions"
-	// maxEventBytes bounds one event of a stream.
+	// maxEventBytes is the largest size of one event of a stream.
 	maxEventBytes = 1 << 20
-	// maxResumes bounds how often one stream is asked for again.
+	// maxResumes is the largest number of attempts to resume one stream.
 	maxResumes = 3
-	// firstEventTimeoutFactor times the progress limit is the longest wait for the
-	// first event, which takes in the engine's own queue.
+	// firstEventTimeoutFactor times the client's progress is the longest wait for
+	// the first event. The wait includes the time in the engine's own queue.
 	firstEventTimeoutFactor = 2
 )
 
-// errIncomplete marks a stream that ended without its last event.
+// errIncomplete is the error of a stream that ended without its last event.
 var errIncomplete = eris.New("stream ended before its last event")
 
-// errMismatched marks a chunk that carries another request's id.
+// errMismatched is the error of a chunk with the id of another request.
 var errMismatched = eris.New("chunk belongs to another request")
 
+// doneEvent is the data of the last event of a stream.
 var doneEvent = []byte("[DONE]")
 
-// EngineCall is one attempt at an engine.
+// EngineCall is one attempt to call an engine.
 type EngineCall struct {
+	// URL is the engine's base URL.
 	URL     string
 	Attempt AttemptID
-	// Body is a chat completion request with stream set.
+	// Body is a chat completion request whose field stream is true.
 	Body []byte
-	// NewConnection asks for a new connection.
+	// NewConnection is set if the call must not use a pooled connection.
 	NewConnection bool
-	// EchoesID tells that the engine's chunks carry the attempt's id.
+	// EchoesID is set if the engine returns the attempt's id in its header and
+	// chunks.
 	EchoesID bool
 }
 
-// Event is one chunk of an answer.
+// Event is one server-sent event: a chunk of an answer. ID is -1 if the event has
+// none.
 type Event struct {
 	ID   int64
 	Data []byte
 }
 
-// Stream is an answer being read. It is used by one goroutine.
+// Stream is the streamed answer of an engine. It is not safe for concurrent use, and
+// must be closed.
 type Stream struct {
 	client      *Client
 	call        EngineCall
@@ -65,7 +70,8 @@
 	ended       bool
 }
 
-// Chat sends a request to an engine. The error is a *Failure.
+// Chat sends a request to an engine and blocks until it has the answer's header. The
+// error is a *Failure.
 func (cl *Client) Chat(ctx context.Context, ca EngineCall) (*Stream, error) {
 	rq, err := http.NewRequest(http.MethodPost, ca.URL+chatPath, bytes.NewReader(ca.Body))
 	if err != nil {
@@ -85,6 +91,7 @@
 	return st, nil
 }
 
+// connect sends a request for the stream and sets the connection to read from.
 func (st *Stream) connect(hc *http.Client, rq *http.Request) *Failure {
 	co, fa := st.client.open(st.ctx, hc, rq, firstEventTimeoutFactor*st.client.progress)
 	if fa != nil {
@@ -105,15 +112,16 @@
 	return nil
 }
 
-// Resumes counts how often the stream went on over a new connection.
+// Resumes returns the number of attempts to resume the stream.
 func (st *Stream) Resumes() int { return st.resumes }
 
-// Load gives what the engine said of its load.
+// Load returns the load that the engine reported last.
 func (st *Stream) Load() Load { return st.load }
 
-// Next gives the next chunk, io.EOF after the last, or a *Failure. A broken or
-// silent connection is replaced by a new one on which the engine goes on after
-// the last chunk read.
+// Next returns the next chunk, or io.EOF after the last one. Any other error is a
+// *Failure. If the stream breaks, times out or mixes in another request's chunk, and
+// a chunk with an id has been read, Next resumes it on a new connection after the
+// last chunk read. It skips events that the engine repeats.
 func (st *Stream) Next() (Event, error) {
 	for {
 		ev, err := st.readEvent()
@@ -138,8 +146,8 @@
 	}
 }
 
-// failure gives the failure for an error while reading, or for a chunk of
-// another request, which is dropped.
+// failure returns the failure for an error of reading, or, if err is nil, for a
+// chunk of another request, which it counts as dropped.
 func (st *Stream) failure(err error) *Failure {
 	if err != nil {
 		return st.conn.readFailure(err)
@@ -148,7 +156,7 @@
 	return &Failure{Cause: CauseMismatched, Sent: true, Err: errMismatched}
 }
 
-// isOwnChunk tells whether a chunk belongs to this attempt.
+// isOwnChunk reports whether a chunk belongs to this attempt.
 func (st *Stream) isOwnChunk(data []byte) bool {
 	if !st.call.EchoesID {
 		return true
@@ -157,7 +165,9 @@
 	return !id.Exists() || id.Str == st.chunkID
 }
 
-// resume asks the engine for the rest of the stream on a new connection.
+// resume requests the rest of the stream from the engine, on a new connection, and
+// reports whether the engine sends it. It tries again until the engine rejects the
+// request, there were maxResumes attempts, or the context is done.
 func (st *Stream) resume() bool {
 	st.conn.close()
 	for st.resumes < maxResumes && st.ctx.Err() == nil {
@@ -210,6 +220,8 @@
 	}
 }
 
+// readLongLine returns a whole line that does not fit into the reader's buffer and
+// begins with start.
 func (st *Stream) readLongLine(start []byte) ([]byte, error) {
 	line := bytes.Clone(start)
 	for {
@@ -224,6 +236,7 @@
 	}
 }
 
+// parseEventID returns an event's id, or -1 if it is not a number.
 func parseEventID(text []byte) int64 {
 	id, err := strconv.ParseInt(string(bytes.TrimSpace(text)), 10, 64)
 	if err != nil {
@@ -232,7 +245,9 @@
 	return id
 }
 
-// Close ends the answer. An engine that has not ended it is told to cancel.
+// Close closes the connection. If the stream has not ended, it asks the engine to
+// cancel the request, and blocks until the engine answers, at most for the client's
+// progress.
 func (st *Stream) Close() {
 	st.conn.close()
 	if st.ended {
@@ -250,7 +265,8 @@
 	}
 }
 
-// FirstEventDeadline is when an attempt sent at a time counts as silent.
+// FirstEventDeadline returns the time at which an engine call sent at the given time
+// fails with CauseSilent if it has received nothing of the answer's body.
 func (cl *Client) FirstEventDeadline(sent time.Time) time.Time {
 	return sent.Add(firstEventTimeoutFactor * cl.progress)
 }
--- a/endpoint/stream_test.go
+++ b/endpoint/stream_test.go
@@ -16,7 +16,8 @@
 	"tanagerpoint.example/tanager/network"
 )
 
-// readAnswer reads a whole answer from a server that gives text.
+// readAnswer reads a complete streamed answer from a server that returns text. It
+// returns the data of the events, each followed by "|".
 func readAnswer(t testing.TB, text string, echoes bool) (string, error) {
 	sv := httptest.NewServer(http.HandlerFunc(func(wr http.ResponseWriter, rq *http.Request) {
 		if rq.Method != http.MethodPost {
@@ -47,24 +48,25 @@
 func TestStreamParsing(t *testing.T) {
 	for _, ca := range []struct {
 		name, text, want string
-		echoes, whole    bool
+		echoes, complete bool
 	}{
-		{"whole", "data: a\n\ndata: b\n\ndata: [DONE]\n\n", "a|b|", false, true},
+		{"complete", "data: a\n\ndata: b\n\ndata: [DONE]\n\n", "a|b|", false, true},
 		{"carriage returns and comments", ": hello\r\nid: 0\r\ndata: a\r\n\r\ndata: [DONE]\r\n\r\n", "a|", false, true},
-		{"repeated events are passed over", "id: 0\ndata: a\n\nid: 0\ndata: a\n\nid: 1\ndata: b\n\ndata: [DONE]\n\n", "a|b|", false, true},
+		{"repeated events are skipped", "id: 0\ndata: a\n\nid: 0\ndata: a\n\nid: 1\ndata: b\n\ndata: [DONE]\n\n", "a|b|", false, true},
 		{"ends early", "data: a\n\n", "a|", false, false},
 		{"empty", "", "", false, false},
-		{"another request's", "data: {\"id\":\"chatcmpl-b\"}\n\ndata: [DONE]\n\n", "", true, false},
-		{"its own", "data: {\"id\":\"chatcmpl-a\"}\n\ndata: [DONE]\n\n", "{\"id\":\"chatcmpl-a\"}|", true, true},
+		{"chunk of another request", "data: {\"id\":\"chatcmpl-b\"}\n\ndata: [DONE]\n\n", "", true, false},
+		{"chunk with the attempt's id", "data: {\"id\":\"chatcmpl-a\"}\n\ndata: [DONE]\n\n", "{\"id\":\"chatcmpl-a\"}|", true, true},
 	} {
 		got, err := readAnswer(t, ca.text, ca.echoes)
 		qt.Assert(t, got, qt.Equals, ca.want, qt.Commentf("%s", ca.name))
-		qt.Assert(t, errors.Is(err, io.EOF), qt.Equals, ca.whole, qt.Commentf("%s: %v", ca.name, err))
+		qt.Assert(t, errors.Is(err, io.EOF), qt.Equals, ca.complete, qt.Commentf("%s: %v", ca.name, err))
 	}
 }
 
-// TestUnrepeatableCallIsNotRetriedByNetHTTP closes a pooled connection
-// under a call that carries an Idempotency-Key, which net/http would send again.
+// TestUnrepeatableCallIsNotRetriedByNetHTTP guards against a second run of a call
+// that must run once. net/http repeats a request with an Idempotency-Key by itself
+// if a pooled connection is closed before the answer.
 func TestUnrepeatableCallIsNotRetriedByNetHTTP(t *testing.T) {
 	var calls atomic.Int64
 	sv := httptest.NewServer(http.HandlerFunc(func(wr http.ResponseWriter, rq *http.Request) {
