--- a/endpoint/endpoint.go
+++ b/endpoint/endpoint.go
@@ -166,7 +166,7 @@
 
 // open sends a request and blocks until it has the answer's header. A timer cancels
 // the request after wait, unless a Read that returns data has restarted it with the
-// connection's progress. The caller must close the connection.
+// connection's progress. The connection must be closed.
 func (cl *Client) open(ctx context.Context, hc *http.Client, rq *http.Request, wait time.Duration) (*connection, *Failure) {
 	ctx, cancel := context.WithCancel(ctx)
 	co := &connection{cancel: cancel, silent: &atomic.Bool{}, progress: cl.progress}
--- a/store/client.go
+++ b/store/client.go
@@ -77,9 +77,9 @@
 	return cl.opt.URLs[cl.urlIndex.Load()%uint64(len(cl.opt.URLs))] + path
 }
 
-// send posts ms as JSON and returns the response if its status is 200; the caller
-// must close the body. The boolean reports whether the store may have received the
-// message, that is, whether a connection was obtained.
+// send posts ms as JSON and returns the response if its status is 200. The body of
+// the response must be closed. The boolean reports whether the store may have
+// received the message, that is, whether a connection was obtained.
 func (cl *Client) send(ctx context.Context, path string, ms any) (*http.Response, bool, error) {
 	bd, err := json.Marshal(ms)
 	if err != nil {
@@ -221,11 +221,11 @@
 
 // updateFromWire converts a message of a watch.
 func updateFromWire(re WireWatchResult) WatchUpdate {
-	no := WatchUpdate{Revision: Revision(re.Header.Revision)}
+	wu := WatchUpdate{Revision: Revision(re.Header.Revision)}
 	for _, ev := range re.Events {
-		no.Changes = append(no.Changes, Change{KeyValue: keyValuesFromWire([]WireKeyValue{ev.Kv})[0], Deleted: ev.Type == "DELETE"})
+		wu.Changes = append(wu.Changes, Change{KeyValue: keyValuesFromWire([]WireKeyValue{ev.Kv})[0], Deleted: ev.Type == "DELETE"})
 	}
-	return no
+	return wu
 }
 
 // Grant implements Store. It rounds ttl up to whole seconds, the unit of etcd.
--- a/store/store.go
+++ b/store/store.go
@@ -89,7 +89,7 @@
 var ErrUnavailable = eris.New("store: unavailable")
 
 // ErrCompacted is the error of a watch from a revision that the store has
-// compacted. The caller must read all pairs again.
+// compacted. All pairs must then be read again.
 var ErrCompacted = eris.New("store: revision compacted")
 
 // Store is the platform's key-value service. The error of a method wraps
