--- a/endpoint/endpoint.go
+++ b/endpoint/endpoint.go
@@ -126,8 +126,9 @@
 	return fmt.Sprintf("TEXT %s=%.3f", loadKey, utilisation)
 }
 
-// Client sends requests. Its pooled connections are used for first attempts;
-// everything else goes on a new connection.
+// Client sends requests. Engine calls without NewConnection and repeatable calls use
+// pooled connections; all other requests use a new connection each. It is safe for
+// concurrent use.
 type Client struct {
 	pooled   *http.Client
 	unpooled *http.Client
@@ -211,7 +212,8 @@
 	}
 }
 
-// readFailure returns the failure for an error of Read.
+// readFailure returns the failure for an error of Read: CauseSilent if the timer
+// cancelled the request, CauseBroken otherwise.
 func (co *connection) readFailure(err error) *Failure {
 	cause := CauseBroken
 	if co.silent.Load() {
--- a/endpoint/stream.go
+++ b/endpoint/stream.go
@@ -58,16 +58,20 @@
 // Stream is the streamed answer of an engine. It is not safe for concurrent use, and
 // must be closed.
 type Stream struct {
-	client      *Client
-	call        EngineCall
-	ctx         context.Context
-	conn        *connection
-	reader      *bufio.Reader
+	client *Client
+	call   EngineCall
+	ctx    context.Context
+	conn   *connection
+	reader *bufio.Reader
+	// lastEventID is the id of the last chunk read, -1 if there is none.
 	lastEventID int64
-	resumes     int
-	load        Load
-	chunkID     string
-	ended       bool
+	// resumes counts the attempts to resume, up to maxResumes.
+	resumes int
+	load    Load
+	// chunkID is the id that chunks of this attempt have if the engine echoes ids.
+	chunkID string
+	// ended is set when the last event has been read.
+	ended bool
 }
 
 // Chat sends a request to an engine and blocks until it has the answer's header. The
@@ -191,7 +195,7 @@
 	return false
 }
 
-// readEvent reads one event from the connection. Its id is -1 when it has none.
+// readEvent reads one event from the connection.
 func (st *Stream) readEvent() (Event, error) {
 	ev := Event{ID: -1}
 	for {
--- a/policy/record.go
+++ b/policy/record.go
@@ -98,7 +98,7 @@
 func (re Record) WithField(path string, value any) (Record, error) {
 	text, err := sjson.SetBytes(bytes.Clone(re.JSON), path, value)
 	if err != nil {
-		return Record{}, eris.Wrap(err, "Record.With")
+		return Record{}, eris.Wrap(err, "Record.WithField")
 	}
 	return ParseRecord(text)
 }
@@ -126,7 +126,7 @@
 	} {
 		var err error
 		if re, err = re.WithField(fi.path, fi.value); err != nil {
-			return Record{}, eris.Wrap(err, "Record.Stamped")
+			return Record{}, eris.Wrap(err, "Record.WithStamp")
 		}
 	}
 	return re, nil
@@ -221,7 +221,7 @@
 func (re Record) withoutField(path string) (Record, error) {
 	text, err := sjson.DeleteBytes(bytes.Clone(re.JSON), path)
 	if err != nil {
-		return Record{}, eris.Wrap(err, "Record.without")
+		return Record{}, eris.Wrap(err, "Record.withoutField")
 	}
 	return ParseRecord(text)
 }
