--- a/cmd/tanagerctl/main.go
+++ b/cmd/tanagerctl/main.go
@@ -103,7 +103,7 @@
 		return command.Exit(command.ExitBadSettings, err)
 	case errors.As(err, &co), errors.Is(err, configuration.ErrFenced):
 		return command.Exit(command.ExitRefused, err)
-	case errors.Is(err, store.ErrUnknown), errors.Is(err, store.ErrUnavailable):
+	case errors.Is(err, store.ErrOutcomeUnknown), errors.Is(err, store.ErrUnavailable):
 		return command.Exit(command.ExitUnreachable, err)
 	default:
 		return command.Exit(command.ExitFailed, err)
--- a/cmd/tanagerctl/version.go
+++ b/cmd/tanagerctl/version.go
@@ -72,7 +72,7 @@
 	if !ok {
 		return configuration.Change{}, eris.Errorf("no record %s/%s", ki, id)
 	}
-	re, err := re.With(path, value)
+	re, err := re.WithField(path, value)
 	return configuration.Change{Record: re, Base: revision}, err
 }
 
@@ -119,7 +119,7 @@
 		Use: use + " ROLLOUT", Short: short, Long: short + ".", Args: cobra.ExactArgs(1),
 		RunE: func(co *cobra.Command, args []string) error {
 			return opt.editRecords(co, []string{string(policy.KindRollout) + "/" + args[0]}, func(re policy.Record) (policy.Record, error) {
-				return re.With("spec.state", state)
+				return re.WithField("spec.state", state)
 			})
 		},
 	}
--- a/configuration/holder.go
+++ b/configuration/holder.go
@@ -50,12 +50,12 @@
 // Update applies changes to the set in force and raises it to a revision. The
 // changes must include all that came after the set's revision, up to the given
 // one. Update does nothing if the given revision is not newer than the set's.
-func (ho *Holder) Update(revision store.Revision, changes []policy.Stored) {
+func (ho *Holder) Update(revision store.Revision, changes []policy.StoredRecord) {
 	ho.swap(func(old *policy.Set) *policy.Set {
 		if revision <= old.Revision {
 			return old
 		}
-		return old.With(revision, changes)
+		return old.WithChanges(revision, changes)
 	})
 }
 
@@ -63,7 +63,7 @@
 // it returns. The set stays locked against other changes meanwhile, so the result
 // may depend on it. The new revision is the greatest of the changes; UpdateFunc
 // does nothing if that is not newer than the set's.
-func (ho *Holder) UpdateFunc(translate func(se *policy.Set) []policy.Stored) {
+func (ho *Holder) UpdateFunc(translate func(se *policy.Set) []policy.StoredRecord) {
 	ho.swap(func(old *policy.Set) *policy.Set {
 		changes := translate(old)
 		newest := store.Revision(0)
@@ -73,19 +73,19 @@
 		if newest <= old.Revision {
 			return old
 		}
-		return old.With(newest, changes)
+		return old.WithChanges(newest, changes)
 	})
 }
 
 // Replace replaces the set by all records at a revision. Records that are not
 // among them are removed, unless they are newer. Replace does nothing if the
 // revision is not newer than the set's.
-func (ho *Holder) Replace(revision store.Revision, records []policy.Stored) {
+func (ho *Holder) Replace(revision store.Revision, records []policy.StoredRecord) {
 	ho.swap(func(old *policy.Set) *policy.Set {
 		if revision <= old.Revision {
 			return old
 		}
-		return old.Replaced(revision, records)
+		return old.WithSnapshot(revision, records)
 	})
 }
 
--- a/configuration/writer.go
+++ b/configuration/writer.go
@@ -90,7 +90,7 @@
 	if err != nil {
 		return nil, 0, eris.Wrap(err, "Writer.Load")
 	}
-	var changes []policy.Stored
+	var changes []policy.StoredRecord
 	head := store.Revision(0)
 	for _, kv := range pa.KeyValues {
 		if kv.Key == wr.keys.Head() {
@@ -98,9 +98,9 @@
 			continue
 		}
 		key := strings.TrimPrefix(string(kv.Key), string(wr.keys.Records()))
-		changes = append(changes, policy.Stored{Key: key, Value: kv.Value, ModRevision: kv.ModRevision})
+		changes = append(changes, policy.StoredRecord{Key: key, Value: kv.Value, ModRevision: kv.ModRevision})
 	}
-	return policy.NewSet().With(head, changes), head, nil
+	return policy.NewSet().WithChanges(head, changes), head, nil
 }
 
 // Apply writes the records of a request. The error is or wraps a finding.List if
@@ -186,7 +186,7 @@
 		if ok && old.SameContent(ch.Record) || !ok && ch.Record.GetDeleted() {
 			continue
 		}
-		re, err := ch.Record.Stamped(st)
+		re, err := ch.Record.WithStamp(st)
 		if err != nil {
 			return nil, err
 		}
--- /dev/null
+++ b/endpoint/forward.go
@@ -0,0 +1,94 @@
+package endpoint
+
+import (
+	"bytes"
+	"context"
+	"io"
+	"net/http"
+	"net/url"
+	"strings"
+	"time"
+)
+
+// ForwardCall is one attempt to forward a caller's request unchanged.
+type ForwardCall struct {
+	// URL is the endpoint's base URL.
+	URL    string
+	Method string
+	// Target is the request target, path and query, exactly as the caller sent it.
+	Target string
+	Host   string
+	Header http.Header
+	Body   []byte
+	// Repeatable is set if the request may run more than once. The call may then use
+	// a pooled connection, on which net/http may send a request again by itself.
+	Repeatable bool
+	// HeaderDeadline is when the answer's header must have been received.
+	HeaderDeadline time.Time
+	// Progress is the longest time without a byte of the answer's body, after its
+	// header.
+	Progress time.Duration
+}
+
+// ForwardAnswer is an answer whose body has not been read yet. It is not safe for
+// concurrent use, and must be closed.
+type ForwardAnswer struct {
+	Status int
+	Header http.Header
+	// Length is the length of the body in bytes, -1 if it is not known.
+	Length int64
+	conn   *connection
+}
+
+// Forward sends a call and blocks until it has the answer's header. The error is a
+// *Failure.
+func (cl *Client) Forward(ctx context.Context, ca ForwardCall) (*ForwardAnswer, error) {
+	rq, err := ca.request()
+	if err != nil {
+		return nil, &Failure{Cause: CauseUnreachable, Err: err}
+	}
+	hc := cl.unpooled
+	if ca.Repeatable {
+		hc = cl.pooled
+	}
+	co, fa := cl.open(ctx, hc, rq, time.Until(ca.HeaderDeadline))
+	if fa != nil {
+		return nil, fa
+	}
+	co.progress = ca.Progress
+	co.timer.Reset(ca.Progress)
+	rs := co.response
+	return &ForwardAnswer{Status: rs.StatusCode, Header: rs.Header, Length: rs.ContentLength, conn: co}, nil
+}
+
+// request returns the HTTP request. An Opaque URL keeps net/http from re-encoding
+// the caller's path.
+func (ca ForwardCall) request() (*http.Request, error) {
+	rq, err := http.NewRequest(ca.Method, ca.URL, nil)
+	if err != nil {
+		return nil, err
+	}
+	path, query, hasQuery := strings.Cut(ca.Target, "?")
+	rq.URL = &url.URL{Scheme: rq.URL.Scheme, Host: rq.URL.Host, Opaque: path, RawQuery: query, ForceQuery: hasQuery && query == ""}
+	rq.Host, rq.Header = ca.Host, ca.Header
+	if len(ca.Body) > 0 || !ca.Repeatable {
+		// Without GetBody, net/http cannot send the request a second time.
+		rq.Body = io.NopCloser(bytes.NewReader(ca.Body))
+		rq.ContentLength = int64(len(ca.Body))
+	}
+	if _, ok := rq.Header["User-Agent"]; !ok {
+		rq.Header["User-Agent"] = []string{""} // prevents net/http from adding its own
+	}
+	return rq, nil
+}
+
+// Read reads from the body. Each read that returns data restarts the timeout
+// ForwardCall.Progress.
+func (an *ForwardAnswer) Read(buf []byte) (int, error) { return an.conn.Read(buf) }
+
+// ReadFailure returns the failure for an error of Read.
+func (an *ForwardAnswer) ReadFailure(err error) *Failure { return an.conn.readFailure(err) }
+
+// Close closes the body. It also closes the connection, unless the body was read to
+// its end.
+func (an *ForwardAnswer) Close() { an.conn.close() }
--- a/endpoint/stream.go
+++ b/endpoint/stream.go
@@ -16,87 +16,98 @@
 
 const (
 	chatPath = "/v1/chat/completions"
-	// maxEventBytes bounds one event of a stream.
+	// maxEventBytes is the largest size of one event of a stream.
 	maxEventBytes = 1 << 20
-	// maxResumes bounds how often one stream is asked for again.
+	// maxResumes is the largest number of attempts to resume one stream.
 	maxResumes = 3
-	// firstEventFactor times the progress limit is the longest wait for the
-	// first event, which takes in the engine's own queue.
-	firstEventFactor = 2
+	// firstEventTimeoutFactor times the client's progress is the longest wait for
+	// the first event. The wait includes the time in the engine's own queue.
+	firstEventTimeoutFactor = 2
 )
 
-// errIncomplete marks a stream that ended without its last event.
+// errIncomplete is the error of a stream that ended without its last event.
 var errIncomplete = eris.New("stream ended before its last event")
 
-// errMismatched marks a chunk that carries another request's id.
+// errMismatched is the error of a chunk with the id of another request.
 var errMismatched = eris.New("chunk belongs to another request")
 
+// doneEvent is the data of the last event of a stream.
 var doneEvent = []byte("[DONE]")
 
-// EngineCall is one attempt at an engine.
+// EngineCall is one attempt to call an engine.
 type EngineCall struct {
+	// URL is the engine's base URL.
 	URL     string
 	Attempt AttemptID
-	// Body is a chat completion request with stream set.
+	// Body is a chat completion request whose field stream is true.
 	Body []byte
-	// Fresh asks for a new connection.
-	Fresh bool
-	// EchoesID tells that the engine's chunks carry the attempt's id.
+	// NewConnection is set if the call must not use a pooled connection.
+	NewConnection bool
+	// EchoesID is set if the engine returns the attempt's id in its header and
+	// chunks.
 	EchoesID bool
 }
 
-// Event is one chunk of an answer.
+// Event is one server-sent event: a chunk of an answer. ID is -1 if the event has
+// none.
 type Event struct {
 	ID   int64
 	Data []byte
 }
 
-// Stream is an answer being read. It is used by one goroutine.
+// Stream is the streamed answer of an engine. It is not safe for concurrent use, and
+// must be closed.
 type Stream struct {
-	client  *Client
-	call    EngineCall
-	ctx     context.Context
-	conn    *connection
-	reader  *bufio.Reader
-	last    int64
+	client *Client
+	call   EngineCall
+	ctx    context.Context
+	conn   *connection
+	reader *bufio.Reader
+	// lastEventID is the id of the last chunk read, -1 if there is none.
+	lastEventID int64
+	// resumes counts the attempts to resume, up to maxResumes.
 	resumes int
 	load    Load
-	wantID  string
-	ended   bool
+	// chunkID is the id that chunks of this attempt have if the engine echoes ids.
+	chunkID string
+	// ended is set when the last event has been read.
+	ended bool
 }
 
-// Chat sends a request to an engine. The error is a *Failure.
+// Chat sends a request to an engine and blocks until it has the answer's header. The
+// error is a *Failure.
 func (cl *Client) Chat(ctx context.Context, ca EngineCall) (*Stream, error) {
 	rq, err := http.NewRequest(http.MethodPost, ca.URL+chatPath, bytes.NewReader(ca.Body))
 	if err != nil {
-		return nil, &Failure{Cause: CauseUnreachable, Problem: err}
+		return nil, &Failure{Cause: CauseUnreachable, Err: err}
 	}
 	rq.GetBody = nil
 	rq.Header.Set("Content-Type", "application/json")
 	rq.Header.Set(HeaderAttempt, string(ca.Attempt))
 	hc := cl.pooled
-	if ca.Fresh {
-		hc = cl.fresh
+	if ca.NewConnection {
+		hc = cl.unpooled
 	}
-	st := &Stream{client: cl, call: ca, ctx: ctx, wantID: "chatcmpl-" + string(ca.Attempt), last: -1}
+	st := &Stream{client: cl, call: ca, ctx: ctx, chunkID: "chatcmpl-" + string(ca.Attempt), lastEventID: -1}
 	if fa := st.connect(hc, rq); fa != nil {
 		return nil, fa
 	}
 	return st, nil
 }
 
+// connect sends a request for the stream and sets the connection to read from.
 func (st *Stream) connect(hc *http.Client, rq *http.Request) *Failure {
-	co, fa := st.client.open(st.ctx, hc, rq, firstEventFactor*st.client.progress)
+	co, fa := st.client.open(st.ctx, hc, rq, firstEventTimeoutFactor*st.client.progress)
 	if fa != nil {
 		return fa
 	}
 	if co.response.StatusCode != http.StatusOK {
-		return co.refused()
+		return co.readRefusal()
 	}
 	if id := co.response.Header.Get(HeaderAttempt); st.call.EchoesID && id != "" && id != string(st.call.Attempt) {
 		co.close()
 		st.client.dropped.Add(1)
-		return &Failure{Cause: CauseMismatched, Sent: true, Problem: eris.Errorf("answer is for %q", id)}
+		return &Failure{Cause: CauseMismatched, Sent: true, Err: eris.Errorf("answer is for %q", id)}
 	}
 	if lo := parseLoad(co.response.Header.Get(HeaderLoad)); lo.Known {
 		st.load = lo
@@ -105,31 +116,32 @@
 	return nil
 }
 
-// Resumes counts how often the stream went on over a new connection.
+// Resumes returns the number of attempts to resume the stream.
 func (st *Stream) Resumes() int { return st.resumes }
 
-// Load gives what the engine said of its load.
+// Load returns the load that the engine reported last.
 func (st *Stream) Load() Load { return st.load }
 
-// Next gives the next chunk, io.EOF after the last, or a *Failure. A broken or
-// silent connection is replaced by a new one on which the engine goes on after
-// the last chunk read.
+// Next returns the next chunk, or io.EOF after the last one. Any other error is a
+// *Failure. If the stream breaks, times out or mixes in another request's chunk, and
+// a chunk with an id has been read, Next resumes it on a new connection after the
+// last chunk read. It skips events that the engine repeats.
 func (st *Stream) Next() (Event, error) {
 	for {
-		ev, err := st.read()
-		if err == nil && ev.ID >= 0 && ev.ID <= st.last {
+		ev, err := st.readEvent()
+		if err == nil && ev.ID >= 0 && ev.ID <= st.lastEventID {
 			continue
 		}
 		if err == nil && bytes.Equal(ev.Data, doneEvent) {
 			st.ended = true
 			return Event{}, io.EOF
 		}
-		if err == nil && st.mine(ev.Data) {
-			st.last = max(st.last, ev.ID)
+		if err == nil && st.isOwnChunk(ev.Data) {
+			st.lastEventID = max(st.lastEventID, ev.ID)
 			return ev, nil
 		}
-		fa := st.failed(err)
-		if st.ctx.Err() != nil || st.last < 0 {
+		fa := st.failure(err)
+		if st.ctx.Err() != nil || st.lastEventID < 0 {
 			return Event{}, fa
 		}
 		if !st.resume() {
@@ -138,26 +150,28 @@
 	}
 }
 
-// failed gives the failure for an error while reading, or for a chunk of
-// another request, which is dropped.
-func (st *Stream) failed(err error) *Failure {
+// failure returns the failure for an error of reading, or, if err is nil, for a
+// chunk of another request, which it counts as dropped.
+func (st *Stream) failure(err error) *Failure {
 	if err != nil {
-		return st.conn.failed(err)
+		return st.conn.readFailure(err)
 	}
 	st.client.dropped.Add(1)
-	return &Failure{Cause: CauseMismatched, Sent: true, Problem: errMismatched}
+	return &Failure{Cause: CauseMismatched, Sent: true, Err: errMismatched}
 }
 
-// mine tells whether a chunk belongs to this attempt.
-func (st *Stream) mine(data []byte) bool {
+// isOwnChunk reports whether a chunk belongs to this attempt.
+func (st *Stream) isOwnChunk(data []byte) bool {
 	if !st.call.EchoesID {
 		return true
 	}
 	id := gjson.GetBytes(data, "id")
-	return !id.Exists() || id.Str == st.wantID
+	return !id.Exists() || id.Str == st.chunkID
 }
 
-// resume asks the engine for the rest of the stream on a new connection.
+// resume requests the rest of the stream from the engine, on a new connection, and
+// reports whether the engine sends it. It tries again until the engine rejects the
+// request, there were maxResumes attempts, or the context is done.
 func (st *Stream) resume() bool {
 	st.conn.close()
 	for st.resumes < maxResumes && st.ctx.Err() == nil {
@@ -167,27 +181,27 @@
 			return false
 		}
 		rq.Header.Set("Accept", "text/event-stream")
-		rq.Header.Set("Last-Event-ID", strconv.FormatInt(st.last, 10))
+		rq.Header.Set("Last-Event-ID", strconv.FormatInt(st.lastEventID, 10))
 		rq.Header.Set(HeaderAttempt, string(st.call.Attempt))
-		fa := st.connect(st.client.fresh, rq)
+		fa := st.connect(st.client.unpooled, rq)
 		if fa == nil {
 			st.client.resumed.Add(1)
 			return true
 		}
-		if fa.CallerMistake() {
+		if fa.InvalidRequest() {
 			return false
 		}
 	}
 	return false
 }
 
-// read reads one event from the connection. Its id is -1 when it has none.
-func (st *Stream) read() (Event, error) {
+// readEvent reads one event from the connection.
+func (st *Stream) readEvent() (Event, error) {
 	ev := Event{ID: -1}
 	for {
 		line, err := st.reader.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) {
-			line, err = st.longLine(line)
+			line, err = st.readLongLine(line)
 		}
 		if err != nil {
 			if errors.Is(err, io.EOF) {
@@ -202,7 +216,7 @@
 		case bytes.HasPrefix(line, []byte("data:")):
 			ev.Data = append(ev.Data, bytes.TrimPrefix(line[len("data:"):], []byte(" "))...)
 		case bytes.HasPrefix(line, []byte("id:")):
-			ev.ID = parseID(line[len("id:"):])
+			ev.ID = parseEventID(line[len("id:"):])
 		}
 		if len(ev.Data) > maxEventBytes {
 			return Event{}, eris.Errorf("event is larger than %d bytes", maxEventBytes)
@@ -210,7 +224,9 @@
 	}
 }
 
-func (st *Stream) longLine(start []byte) ([]byte, error) {
+// readLongLine returns a whole line that does not fit into the reader's buffer and
+// begins with start.
+func (st *Stream) readLongLine(start []byte) ([]byte, error) {
 	line := bytes.Clone(start)
 	for {
 		more, err := st.reader.ReadSlice('\n')
@@ -224,7 +240,8 @@
 	}
 }
 
-func parseID(text []byte) int64 {
+// parseEventID returns an event's id, or -1 if it is not a number.
+func parseEventID(text []byte) int64 {
 	id, err := strconv.ParseInt(string(bytes.TrimSpace(text)), 10, 64)
 	if err != nil {
 		return -1
@@ -232,7 +249,9 @@
 	return id
 }
 
-// Close ends the answer. An engine that has not ended it is told to cancel.
+// Close closes the connection. If the stream has not ended, it asks the engine to
+// cancel the request, and blocks until the engine answers, at most for the client's
+// progress.
 func (st *Stream) Close() {
 	st.conn.close()
 	if st.ended {
@@ -244,13 +263,14 @@
 	if err != nil {
 		return
 	}
-	rs, err := st.client.fresh.Do(rq)
+	rs, err := st.client.unpooled.Do(rq)
 	if err == nil {
 		_ = rs.Body.Close()
 	}
 }
 
-// FirstEventDeadline is when an attempt sent at a time counts as silent.
+// FirstEventDeadline returns the time at which an engine call sent at the given time
+// fails with CauseSilent if it has received nothing of the answer's body.
 func (cl *Client) FirstEventDeadline(sent time.Time) time.Time {
-	return sent.Add(firstEventFactor * cl.progress)
+	return sent.Add(firstEventTimeoutFactor * cl.progress)
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestSchemaVersionsStandSideBySide(t *testing.T) {
+func TestSchemaVersionsCoexist(t *testing.T) {
 	se := policy.NewSet().WithRecords([]policy.Record{
 		record(t, `{"schema_version":2,"kind":"model","id":"m","spec":{"stable_version":"m-1"}}`),
 		record(t, `{"schema_version":1,"kind":"version","id":"m-1","spec":{"model":"m","cost_per_1k_tokens":0.004}}`),
@@ -45,7 +45,7 @@
 		qt.Assert(t, ve.Cost(10, 10), qt.Equals, ca.cost)
 		qt.Assert(t, ve.Live(), qt.IsTrue)
 	}
-	// A record that this program cannot read is absent, and that is told.
+	// A record whose min_reader is too new is absent and is listed in Findings.
 	_, ok := se.Versions.ByID("m-4")
 	qt.Assert(t, ok, qt.IsFalse)
 	qt.Assert(t, se.Findings, qt.HasLen, 1)
@@ -54,47 +54,48 @@
 
 func TestEditKeepsUnknownFields(t *testing.T) {
 	re := record(t, `{"schema_version":3,"kind":"version","id":"m-3","later":{"a":1},"spec":{"model":"m","new_field":[1]}}`)
-	re, err := re.With("spec.state", "WITHDRAWN")
+	re, err := re.WithField("spec.state", "WITHDRAWN")
 	qt.Assert(t, err, qt.IsNil)
-	re, err = re.Stamped(policy.Stamp{ChangedBy: "asha", OperationID: "op"})
+	re, err = re.WithStamp(policy.Stamp{ChangedBy: "asha", OperationID: "op"})
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, string(re.JSON), qt.Contains, `"new_field":[1]`)
 	qt.Assert(t, string(re.JSON), qt.Contains, `"later":{"a":1}`)
 }
 
-// TestSetIsAFunctionOfItsRecords merges the same changes in any order, with
-// repeats, and comes to the same set.
-func TestSetIsAFunctionOfItsRecords(t *testing.T) {
+// TestSetIsIndependentOfChangeOrder checks that applying the same changes in any
+// order, some of them more than once, gives the same set, and that ChangedAfter
+// returns all changes that a set at an earlier revision lacks.
+func TestSetIsIndependentOfChangeOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(rt, "changes")
-		var all []policy.Stored
+		var all []policy.StoredRecord
 		for i := range n {
 			id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "id")
 			deleted := rapid.SampledFrom([]string{"true", "false"}).Draw(rt, "deleted")
 			text := `{"schema_version":2,"kind":"model","id":"` + id + `","deleted":` + deleted + `,"spec":{"stable_version":"v"}}`
-			all = append(all, policy.Stored{Key: "model/" + id, Value: []byte(text), ModRevision: store.Revision(i + 1)})
+			all = append(all, policy.StoredRecord{Key: "model/" + id, Value: []byte(text), ModRevision: store.Revision(i + 1)})
 		}
-		want := policy.NewSet().With(0, all)
+		want := policy.NewSet().WithChanges(0, all)
 		got := policy.NewSet()
 		for range 3 {
 			order := rapid.Permutation(all).Draw(rt, "order")
 			cut := rapid.IntRange(0, n).Draw(rt, "cut")
-			got = got.With(0, order[:cut])
+			got = got.WithChanges(0, order[:cut])
 		}
-		got = got.With(0, rapid.Permutation(all).Draw(rt, "last"))
+		got = got.WithChanges(0, rapid.Permutation(all).Draw(rt, "last"))
 		if got.Revision != want.Revision || len(got.Records()) != len(want.Records()) {
 			rt.Fatalf("revision %d with %d records, want %d with %d", got.Revision, len(got.Records()), want.Revision, len(want.Records()))
 		}
 		for i, re := range want.Records() {
 			if string(re.JSON) != string(got.Records()[i].JSON) {
-				rt.Fatalf("%s differs", re.Key())
+				rt.Fatalf("text of record %s differs", re.Key())
 			}
 		}
-		// What a peer is told after a revision completes a set at it.
+		// A peer at an earlier revision is sent ChangedAfter of that revision.
 		at := store.Revision(rapid.IntRange(0, n).Draw(rt, "at"))
-		behind := policy.NewSet().With(0, all[:at])
-		if caughtUp := behind.With(want.Revision, want.After(behind.Revision)); len(caughtUp.Records()) != len(want.Records()) {
-			rt.Fatalf("a peer's answer does not complete the set")
+		behind := policy.NewSet().WithChanges(0, all[:at])
+		if caughtUp := behind.WithChanges(want.Revision, want.ChangedAfter(behind.Revision)); len(caughtUp.Records()) != len(want.Records()) {
+			rt.Fatalf("a set at an earlier revision lacks records after applying the result of ChangedAfter")
 		}
 	})
 }
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -71,7 +71,7 @@
 	// it.
 	stream     *eventReader
 	firstEvent streamEvent
-	source     *endpoint.CarriedAnswer
+	source     *endpoint.ForwardAnswer
 }
 
 // attempt sends a request to one endpoint. It blocks until the answer is complete
@@ -139,9 +139,9 @@
 		"send": ca.sends, "estimate_ms": at.estimatedWait().Milliseconds(), "pressure_ms": int64(float64(ca.meanBacklog) * 1000),
 		"policy": ro.holder.Set().Revision,
 	})
-	source, err := ro.client.Carry(ctx, endpoint.CarriedCall{
+	source, err := ro.client.Forward(ctx, endpoint.ForwardCall{
 		URL: at.endpoint.Url, Method: rq.Method, Target: rq.Target, Host: rq.Host, Header: he, Body: rq.Body,
-		Repeatable: ca.route.Repeatable(), AnswerBy: at.headDeadline(), Progress: at.idleTimeout(),
+		Repeatable: ca.route.Repeatable(), HeaderDeadline: at.headDeadline(), Progress: at.idleTimeout(),
 	})
 	if err != nil {
 		fa := failureOf(err)
@@ -170,7 +170,7 @@
 	if ca.wantsStream() {
 		factor = streamWaitFactor
 	}
-	deadline := at.sentAt.Add(max(time.Duration(factor*float64(ca.route.Target())), minWaitFactor*at.estimatedWait()))
+	deadline := at.sentAt.Add(max(time.Duration(factor*float64(ca.route.LatencyTarget())), minWaitFactor*at.estimatedWait()))
 	if deadline.After(ca.deadline) {
 		return ca.deadline
 	}
@@ -228,7 +228,7 @@
 	ev, err := an.stream.next()
 	if err != nil && !errors.Is(err, io.EOF) {
 		an.source.Close()
-		return nil, failureOf(an.source.Failed(err))
+		return nil, failureOf(an.source.ReadFailure(err))
 	}
 	an.firstEvent = ev
 	an.recordStart()
@@ -239,7 +239,7 @@
 	defer an.source.Close()
 	body, err := io.ReadAll(io.LimitReader(an.source, maxBufferedBody+1))
 	if err != nil {
-		return nil, failureOf(an.source.Failed(err))
+		return nil, failureOf(an.source.ReadFailure(err))
 	}
 	if len(body) > maxBufferedBody {
 		return nil, &failure{err: eris.Errorf("answer is larger than %d bytes", maxBufferedBody)}
--- a/relay/router.go
+++ b/relay/router.go
@@ -178,14 +178,14 @@
 	if !ok {
 		return nil, &Refusal{Status: http.StatusNotFound, Reason: ReasonNoRoute}
 	}
-	ca := &call{request: rq, route: rt, urgency: rt.Urgency, deadline: rt.Timeout(rq.ReceivedAt)}
+	ca := &call{request: rq, route: rt, urgency: rt.Urgency, deadline: rt.Deadline(rq.ReceivedAt)}
 	if !rq.Deadline.IsZero() && rq.Deadline.Before(ca.deadline) {
 		ca.deadline = rq.Deadline
 	}
 	if re := ca.setOrganisation(se); re != nil {
 		return nil, re
 	}
-	ca.service, ok = se.Services.ByID(rt.Service(rq.sessionFraction(string(rt.ID))))
+	ca.service, ok = se.Services.ByID(rt.PickService(rq.sessionFraction(string(rt.ID))))
 	if !ok {
 		return nil, refuseNotRun(ReasonNoEndpoint, rq.ReceivedAt.Add(defaultRetryDelay))
 	}
--- a/relay/run.go
+++ b/relay/run.go
@@ -51,7 +51,7 @@
 	}
 	key := latencyKey{ca.service.ID, policy.ModelID(models[len(models)-1])}
 	work, _ := ro.latencies.estimate(key, ca.request.promptTokens(), 0)
-	left := time.Until(ca.request.ReceivedAt.Add(ca.route.Target()))
+	left := time.Until(ca.request.ReceivedAt.Add(ca.route.LatencyTarget()))
 	es := cascade.Escalation{
 		Confidence: an.head.Confidence, Work: float64(work), Backlog: float64(ca.meanBacklog),
 		TimeLeft: left.Seconds(),
--- a/steward/orders.go
+++ b/steward/orders.go
@@ -80,7 +80,7 @@
 func (ot *ordersTask) inspect(ctx context.Context, ho lease.Hold, se *policy.Set, en policy.Endpoint) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	loaded, err := ot.daemon.client.Loaded(ctx, en.Url)
+	loaded, err := ot.daemon.client.LoadedModels(ctx, en.Url)
 	if err != nil {
 		return
 	}
@@ -102,7 +102,7 @@
 	if _, ok := da.leases.Holds(ho.Task); !ok {
 		return
 	}
-	err := da.client.Send(ctx, or)
+	err := da.client.SendOrder(ctx, or)
 	fields := event.Fields{"endpoint": en.ID, "model": or.Model, "load": or.Load, "fencing_token": or.FencingToken}
 	switch {
 	case err == nil:
--- a/steward/ratings.go
+++ b/steward/ratings.go
@@ -59,7 +59,7 @@
 	if !rt.loaded && !rt.loadCheckpoint(ctx) {
 		return false
 	}
-	ras, err := rt.daemon.ratings.After(ctx, rt.sums.Sequence)
+	ras, err := rt.daemon.ratings.RatingsAfter(ctx, rt.sums.Sequence)
 	if err != nil {
 		rt.daemon.log.Debug(event.RatingsUnreachable, err, nil)
 		return false
--- a/store/resolve.go
+++ b/store/resolve.go
@@ -12,35 +12,36 @@
 )
 
 const (
-	firstResolveWait = 20 * time.Millisecond
-	lastResolveWait  = 500 * time.Millisecond
+	initialResolveBackoff = 20 * time.Millisecond
+	maxResolveBackoff     = 500 * time.Millisecond
 )
 
-// ApplyResolved makes a commit and, when its answer is lost, makes the same
-// commit again until an answer comes or ctx ends. The commit must compare a
-// key that it writes, so that only one of the tries can take effect; own tells
-// whether the pairs found by a refused try show that an earlier one did.
+// ApplyResolved applies a commit. If the outcome is unknown, it applies the same
+// commit again, with exponential backoff, until it gets an answer or ctx is done.
+// The commit must compare a key that it writes, so that at most one of the attempts
+// can take effect. isOwn reports whether the pairs found by a refused attempt show
+// that an earlier attempt took effect; the outcome is then Applied.
 //
-// The error is ErrUnavailable when no try can have taken effect, ErrUnknown
-// when one may have.
-func ApplyResolved(ctx context.Context, st Store, co Commit, own func(found []KeyValue) bool) (Outcome, error) {
+// The error is ErrUnavailable if no attempt can have taken effect, and
+// ErrOutcomeUnknown if one may have.
+func ApplyResolved(ctx context.Context, st Store, co Commit, isOwn func(found []KeyValue) bool) (Outcome, error) {
 	bo := backoff.NewExponentialBackOff()
-	bo.InitialInterval, bo.MaxInterval = firstResolveWait, lastResolveWait
-	unknown := false
+	bo.InitialInterval, bo.MaxInterval = initialResolveBackoff, maxResolveBackoff
+	outcomeUnknown := false
 	for {
 		ou, err := st.Apply(ctx, co)
 		if err == nil {
-			if !ou.Applied && unknown && own(ou.Found) {
+			if !ou.Applied && outcomeUnknown && isOwn(ou.Found) {
 				ou.Applied = true
 			}
 			return ou, nil
 		}
-		if !errors.Is(err, ErrUnknown) && !unknown {
+		if !errors.Is(err, ErrOutcomeUnknown) && !outcomeUnknown {
 			return Outcome{}, err
 		}
-		unknown = true
+		outcomeUnknown = true
 		if !worker.Sleep(ctx, bo.NextBackOff()) {
-			return Outcome{}, eris.Wrap(errors.Join(ErrUnknown, err), "ApplyResolved")
+			return Outcome{}, eris.Wrap(errors.Join(ErrOutcomeUnknown, err), "ApplyResolved")
 		}
 	}
 }
