--- a/proof/bill_test.go
+++ b/proof/bill_test.go
@@ -14,40 +14,43 @@
 	"tanagerpoint.example/tanager/testsite"
 )
 
-// billed tells how often each bill is stored, and fails on one stored twice.
-func billed(t *testing.T, si *testsite.Site) map[string]bool {
+// storedBillIDs returns the IDs of the bills in the store. It fails the test if a
+// bill is stored twice.
+func storedBillIDs(t *testing.T, si *testsite.Site) map[string]bool {
 	t.Helper()
 	li := si.Bills()
 	qt.Assert(t, li.Stored, qt.Equals, len(li.Bills)+len(li.Repeated), qt.Commentf("a bill is stored twice"))
-	out := map[string]bool{}
+	ids := map[string]bool{}
 	for _, bi := range li.Bills {
-		out[bi.GetId()] = true
+		ids[bi.GetId()] = true
 	}
-	return out
+	return ids
 }
 
-// answers collects the bills of whole answers.
-type answers struct {
-	mu    sync.Mutex
-	bills []string
+// billRecorder collects the bill IDs of the answers that callers received
+// completely.
+type billRecorder struct {
+	mu      sync.Mutex
+	billIDs []string
 }
 
-func (an *answers) add(got testsite.Answer) {
+func (br *billRecorder) record(got testsite.Answer) {
 	if got.Err != nil || !got.Whole {
 		return
 	}
-	an.mu.Lock()
-	defer an.mu.Unlock()
-	an.bills = append(an.bills, got.Header.Get(entry.HeaderBill))
+	br.mu.Lock()
+	defer br.mu.Unlock()
+	br.billIDs = append(br.billIDs, got.Header.Get(entry.HeaderBill))
 }
 
-// load asks entries for answers until ctx ends.
-func load(ctx context.Context, si *testsite.Site, an *answers, wg *sync.WaitGroup, entries ...int) {
+// generateLoad starts four callers for each of the entries, which send chat
+// requests until ctx ends. The caller waits for them with wg.
+func generateLoad(ctx context.Context, si *testsite.Site, br *billRecorder, wg *sync.WaitGroup, entries ...int) {
 	for _, n := range entries {
 		for range 4 {
 			wg.Go(func() {
 				for i := 0; ctx.Err() == nil; i++ {
-					an.add(si.Chat(testsite.Call{Entry: n, Stream: n%2 == 0, Prompt: fmt.Sprint("sheet ", n, i)}))
+					br.record(si.Chat(testsite.Call{Entry: n, Stream: n%2 == 0, Prompt: fmt.Sprint("sheet ", n, i)}))
 					time.Sleep(20 * time.Millisecond)
 				}
 			})
@@ -55,12 +58,14 @@
 	}
 }
 
+// TestEveryAnswerOfAKilledEntryIsBilledOnce kills two entries under load. The
+// peers that hold copies of their bills must seal them.
 func TestEveryAnswerOfAKilledEntryIsBilledOnce(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 5, Engines: 3}, func(t *testing.T, si *testsite.Site) {
 		ctx, cancel := context.WithCancel(t.Context())
-		var an answers
+		var br billRecorder
 		var wg sync.WaitGroup
-		load(ctx, si, &an, &wg, 1, 2, 3)
+		generateLoad(ctx, si, &br, &wg, 1, 2, 3)
 		time.Sleep(1300 * time.Millisecond)
 		si.KillEntry(1)
 		time.Sleep(700 * time.Millisecond)
@@ -69,20 +74,22 @@
 		cancel()
 		wg.Wait()
 		time.Sleep(15 * time.Second)
-		got := billed(t, si)
-		qt.Assert(t, len(an.bills) > 100, qt.IsTrue)
-		for _, id := range an.bills {
-			qt.Assert(t, got[id], qt.IsTrue, qt.Commentf("bill %s of a whole answer is missing", id))
+		got := storedBillIDs(t, si)
+		qt.Assert(t, len(br.billIDs) > 100, qt.IsTrue)
+		for _, id := range br.billIDs {
+			qt.Assert(t, got[id], qt.IsTrue, qt.Commentf("bill %s of a complete answer is missing", id))
 		}
 	})
 }
 
-func TestBillsSurviveAStoreOutageAndAKillWithinIt(t *testing.T) {
+// TestBillsSurviveStoreOutageAndEntryKill kills an entry while the store is down,
+// so that its unsealed bills exist only at its peers.
+func TestBillsSurviveStoreOutageAndEntryKill(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 4, Engines: 2}, func(t *testing.T, si *testsite.Site) {
 		ctx, cancel := context.WithCancel(t.Context())
-		var an answers
+		var br billRecorder
 		var wg sync.WaitGroup
-		load(ctx, si, &an, &wg, 1, 2)
+		generateLoad(ctx, si, &br, &wg, 1, 2)
 		time.Sleep(time.Second)
 		si.Store.Set(standin.Faults{Down: true})
 		time.Sleep(3 * time.Second)
@@ -93,20 +100,22 @@
 		cancel()
 		wg.Wait()
 		time.Sleep(15 * time.Second)
-		got := billed(t, si)
-		for _, id := range an.bills {
-			qt.Assert(t, got[id], qt.IsTrue, qt.Commentf("bill %s is missing", id))
+		got := storedBillIDs(t, si)
+		for _, id := range br.billIDs {
+			qt.Assert(t, got[id], qt.IsTrue, qt.Commentf("bill %s of a complete answer is missing", id))
 		}
 		qt.Assert(t, si.State(2).BillsUnsealed, qt.Equals, int64(0))
 	})
 }
 
-func TestLostAnswersOfBillWritesDoubleNothing(t *testing.T) {
+// TestLostStoreResponsesDoNotDuplicateBills lets the store carry out writes of bills
+// whose responses are lost, so that entries repeat them.
+func TestLostStoreResponsesDoNotDuplicateBills(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 3, Engines: 2}, func(t *testing.T, si *testsite.Site) {
 		ctx, cancel := context.WithCancel(t.Context())
-		var an answers
+		var br billRecorder
 		var wg sync.WaitGroup
-		load(ctx, si, &an, &wg, 1, 2, 3)
+		generateLoad(ctx, si, &br, &wg, 1, 2, 3)
 		for range 10 {
 			si.Store.Set(standin.Faults{LoseAnswers: 3})
 			time.Sleep(400 * time.Millisecond)
@@ -115,22 +124,25 @@
 		cancel()
 		wg.Wait()
 		time.Sleep(10 * time.Second)
-		qt.Assert(t, len(billed(t, si)), qt.Equals, len(an.bills))
+		qt.Assert(t, len(storedBillIDs(t, si)), qt.Equals, len(br.billIDs))
 	})
 }
 
-func TestOwnerCutOffWhilePeersSealForItDoublesNothing(t *testing.T) {
+// TestPartitionedOwnerDoesNotDuplicateBillsSealedByPeers cuts an entry with unsealed
+// bills off from its peers and from the store, and reconnects it after its peers
+// sealed the bills for it.
+func TestPartitionedOwnerDoesNotDuplicateBillsSealedByPeers(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 3, Engines: 2}, func(t *testing.T, si *testsite.Site) {
-		var an answers
+		var br billRecorder
 		for range 10 {
-			an.add(si.Chat(testsite.Call{Entry: 1}))
+			br.record(si.Chat(testsite.Call{Entry: 1}))
 		}
 		si.Store.Set(standin.Faults{Down: true})
 		for range 10 {
-			an.add(si.Chat(testsite.Call{Entry: 1}))
+			br.record(si.Chat(testsite.Call{Entry: 1}))
 		}
-		// The peers lose sight of entry-1, and seal for it; then it comes back
-		// with the same bills.
+		// The peers take entry-1 for failed and seal the copies that they hold of
+		// its bills. Then it reaches the store again and seals the same bills.
 		for n := 2; n <= 3; n++ {
 			si.Net.Cut(testsite.Host(testsite.EntryName(1)), testsite.PeerAddress(n))
 			si.Net.Cut(testsite.Host(testsite.EntryName(n)), testsite.PeerAddress(1))
@@ -144,11 +156,14 @@
 			si.Net.Mend(testsite.Host(testsite.EntryName(n)), testsite.PeerAddress(1))
 		}
 		time.Sleep(10 * time.Second)
-		qt.Assert(t, len(an.bills), qt.Equals, 20)
-		qt.Assert(t, len(billed(t, si)), qt.Equals, 20)
+		qt.Assert(t, len(br.billIDs), qt.Equals, 20)
+		qt.Assert(t, len(storedBillIDs(t, si)), qt.Equals, 20)
 	})
 }
 
+// TestRetriesAndRepeatedRequestIDsAreBilledOnce checks that an answer that took
+// several attempts has one bill, and that the bill of a second answer to the same
+// request ID is stored as repeated.
 func TestRetriesAndRepeatedRequestIDsAreBilledOnce(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 2, Engines: 3}, func(t *testing.T, si *testsite.Site) {
 		si.Engines["engine-1"].Set(standin.Faults{FailModel: "m-1"})
@@ -166,7 +181,10 @@
 	})
 }
 
-func TestCancelledIsBilledForWhatCameAndCutIsNot(t *testing.T) {
+// TestCancelledAnswerIsBilledAndTruncatedAnswerIsNot checks that an answer that its
+// caller cancels is billed for the tokens sent until then, and that an answer that
+// the failure of an engine cuts off is not billed.
+func TestCancelledAnswerIsBilledAndTruncatedAnswerIsNot(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 2, Engines: 1}, func(t *testing.T, si *testsite.Site) {
 		ctx, cancel := context.WithCancel(t.Context())
 		si.Chat(testsite.Call{Entry: 1, Stream: true, Tokens: 50, Context: ctx, OnChunk: func(n int) {
@@ -193,23 +211,24 @@
 	})
 }
 
-// TestMissingPeersDoNotFloodTheStore has fewer peers than copies are set: bills
-// must not go to the store one by one.
-func TestMissingPeersDoNotFloodTheStore(t *testing.T) {
+// TestMissingPeersDoNotOverloadStore runs fewer peers than the settings ask for
+// copies of each bill. An entry without any peer has to seal a bill before it sends the
+// end of the answer, and must batch the bills instead of storing each by itself.
+func TestMissingPeersDoNotOverloadStore(t *testing.T) {
 	for _, entries := range []int{1, 2} {
 		withSite(t, testsite.Options{Entries: entries, Engines: 3}, func(t *testing.T, si *testsite.Site) {
 			ctx, cancel := context.WithCancel(t.Context())
-			var an answers
+			var br billRecorder
 			var wg sync.WaitGroup
-			_, before := si.Store.Calls()
-			load(ctx, si, &an, &wg, 1, 1, 1, 1)
+			_, writesBefore := si.Store.Calls()
+			generateLoad(ctx, si, &br, &wg, 1, 1, 1, 1)
 			time.Sleep(10 * time.Second)
 			cancel()
 			wg.Wait()
-			_, after := si.Store.Calls()
-			writes := float64(after-before) / 10
-			t.Logf("%d entries: %d answers, %.1f writes a second", entries, len(an.bills), writes)
-			qt.Assert(t, writes <= 50, qt.IsTrue, qt.Commentf("%.1f writes a second", writes))
+			_, writesAfter := si.Store.Calls()
+			writes := float64(writesAfter-writesBefore) / 10
+			t.Logf("%d entries: %d answers, %.1f store writes/s", entries, len(br.billIDs), writes)
+			qt.Assert(t, writes <= 50, qt.IsTrue, qt.Commentf("%.1f store writes/s, limit 50", writes))
 		})
 	}
 }
--- a/proof/claim_test.go
+++ b/proof/claim_test.go
@@ -13,7 +13,8 @@
 	"tanagerpoint.example/tanager/testsite"
 )
 
-// timesRun adds up how often all plain services ran a key.
+// timesRun returns how often the replicas of the plain service ran the call with
+// an idempotency key.
 func timesRun(si *testsite.Site, key string) int {
 	n := 0
 	for _, pl := range si.Plains {
@@ -22,9 +23,9 @@
 	return n
 }
 
-// settle repeats a call at entry 2 until it is neither under way nor refused
-// for now, and gives the last answer.
-func settle(si *testsite.Site, key string) testsite.Answer {
+// callUntilRun repeats a call at entry-2, once a second and at most 40 times, until
+// an answer says that the call was run. It returns the last answer.
+func callUntilRun(si *testsite.Site, key string) testsite.Answer {
 	var an testsite.Answer
 	for range 40 {
 		an = si.Desk(testsite.Call{Entry: 2}, "POST", key, "{}")
@@ -36,7 +37,9 @@
 	return an
 }
 
-func TestRepeatAtAnotherEntryGivesTheSameAnswer(t *testing.T) {
+// TestRepeatAtAnotherEntryReturnsSameAnswer repeats a finished call at every entry.
+// The same key with a different body must be refused.
+func TestRepeatAtAnotherEntryReturnsSameAnswer(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 3, Plains: 2}, func(t *testing.T, si *testsite.Site) {
 		first := si.Desk(testsite.Call{Entry: 1}, "POST", "order-1", "{}")
 		qt.Assert(t, first.Status, qt.Equals, 200)
@@ -53,7 +56,8 @@
 	})
 }
 
-func TestSameCallAtAllEntriesAtOnceRunsOnce(t *testing.T) {
+// TestConcurrentDuplicateCallsRunOnce sends the same call to all entries at once.
+func TestConcurrentDuplicateCallsRunOnce(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 4, Plains: 3}, func(t *testing.T, si *testsite.Site) {
 		for round := range 20 {
 			key := fmt.Sprintf("order-%d", round)
@@ -63,13 +67,16 @@
 			}
 			wg.Wait()
 			qt.Assert(t, timesRun(si, key), qt.Equals, 1)
-			qt.Assert(t, settle(si, key).Status, qt.Equals, 200)
+			qt.Assert(t, callUntilRun(si, key).Status, qt.Equals, 200)
 			qt.Assert(t, timesRun(si, key), qt.Equals, 1)
 		}
 	})
 }
 
-func TestClaimWhoseAnswerWasLostRunsOnce(t *testing.T) {
+// TestClaimWithLostStoreResponseRunsOnce loses the store's responses to the writes of
+// a claim. The entry must find out whether the claim was written before it runs the
+// call or refuses it as not run.
+func TestClaimWithLostStoreResponseRunsOnce(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 2, Plains: 2}, func(t *testing.T, si *testsite.Site) {
 		for round := range 6 {
 			key := fmt.Sprintf("order-%d", round)
@@ -79,13 +86,15 @@
 			if an.Ran() == entry.NotRun {
 				qt.Assert(t, timesRun(si, key), qt.Equals, 0)
 			}
-			qt.Assert(t, settle(si, key).Status, qt.Equals, 200)
+			qt.Assert(t, callUntilRun(si, key).Status, qt.Equals, 200)
 			qt.Assert(t, timesRun(si, key), qt.Equals, 1)
 		}
 	})
 }
 
-func TestStoreOutageRefusesWithATrueNotRun(t *testing.T) {
+// TestCallsRefusedInStoreOutageAreNotRun checks that a call that cannot be claimed is
+// refused as not run, and runs once after the outage.
+func TestCallsRefusedInStoreOutageAreNotRun(t *testing.T) {
 	for _, fault := range []standin.Faults{{Down: true}, {Freeze: true}} {
 		withSite(t, testsite.Options{Entries: 3, Engines: 1, Plains: 2}, func(t *testing.T, si *testsite.Site) {
 			si.Desk(testsite.Call{Entry: 1}, "POST", "before", "{}")
@@ -96,20 +105,23 @@
 			qt.Assert(t, an.Ran(), qt.Equals, entry.NotRun)
 			qt.Assert(t, an.Header.Get("Retry-After"), qt.Not(qt.Equals), "")
 			qt.Assert(t, timesRun(si, "order-1"), qt.Equals, 0)
-			// What may be repeated is served all the same.
+			// Requests that may be repeated need no claim and are still served.
 			qt.Assert(t, si.Chat(testsite.Call{Entry: 2}).Status, qt.Equals, 200)
 			si.Store.Set(standin.Faults{})
-			qt.Assert(t, settle(si, "order-1").Status, qt.Equals, 200)
+			qt.Assert(t, callUntilRun(si, "order-1").Status, qt.Equals, 200)
 			qt.Assert(t, timesRun(si, "order-1"), qt.Equals, 1)
 		})
 	}
 }
 
-func TestClaimLostInAnOutageIsReleased(t *testing.T) {
+// TestClaimLostInStoreOutageIsReleased checks that a claim whose outcome the entry
+// did not learn in time is released after the outage. Otherwise the call could not
+// run until the claim expires.
+func TestClaimLostInStoreOutageIsReleased(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 2, Plains: 1}, func(t *testing.T, si *testsite.Site) {
 		si.Desk(testsite.Call{Entry: 1}, "POST", "warm", "{}")
-		// The claim takes effect, its answer is lost, and the store stays away
-		// for longer than the caller waits.
+		// The claim is written, but the store's responses are lost for longer than
+		// the caller waits.
 		si.Store.Set(standin.Faults{LoseAnswers: 1000})
 		an := si.Desk(testsite.Call{Entry: 1}, "POST", "order-1", "{}")
 		qt.Assert(t, an.Ran(), qt.Equals, entry.NotRun)
@@ -121,7 +133,10 @@
 	})
 }
 
-func TestEntryKilledDuringACallLeavesItsOutcomeUnknown(t *testing.T) {
+// TestEntryKilledDuringCallLeavesOutcomeUnknown kills the entry that runs a call.
+// Repeats must first find the call under way and then its outcome unknown; it must
+// not run again.
+func TestEntryKilledDuringCallLeavesOutcomeUnknown(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 3, Plains: 1}, func(t *testing.T, si *testsite.Site) {
 		si.Plains["desk-1"].Set(standin.Faults{DelayMS: 300})
 		var wg sync.WaitGroup
@@ -142,9 +157,12 @@
 	})
 }
 
+// TestUnrepeatableCallIsNeverSentTwice makes the service fail in ways that do not
+// tell whether the call was run. The entry must not retry such a call, with or
+// without an idempotency key.
 func TestUnrepeatableCallIsNeverSentTwice(t *testing.T) {
 	faults := map[string]func(si *testsite.Site){
-		"service breaks the connection after it ran": func(si *testsite.Site) {
+		"service breaks the connection after running the call": func(si *testsite.Site) {
 			for _, pl := range si.Plains {
 				pl.Set(standin.Faults{LoseAnswers: 1})
 			}
@@ -154,7 +172,7 @@
 				pl.Set(standin.Faults{Freeze: true})
 			}
 		},
-		"service breaks every connection at once": func(si *testsite.Site) {
+		"service breaks every connection immediately": func(si *testsite.Site) {
 			for _, pl := range si.Plains {
 				pl.Set(standin.Faults{Down: true})
 			}
@@ -179,7 +197,7 @@
 						pl.Set(standin.Faults{})
 					}
 					if key != "" {
-						settle(si, key)
+						callUntilRun(si, key)
 					}
 					qt.Assert(t, timesRun(si, key) <= 1, qt.IsTrue, qt.Commentf("%q ran %d times", key, timesRun(si, key)))
 					fault(si)
@@ -189,7 +207,9 @@
 	}
 }
 
-func TestDeadServiceIsNotAskedAndTheCallRunsElsewhere(t *testing.T) {
+// TestCallsAvoidDeadServiceEndpoint kills one of two endpoints of a service. Calls
+// must run on the other one.
+func TestCallsAvoidDeadServiceEndpoint(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 1, Plains: 2, EntrySettings: map[string]string{"billing": "copies = 0"}}, func(t *testing.T, si *testsite.Site) {
 		si.Net.Kill("desk-1")
 		for round := range 10 {
--- a/proof/configuration_test.go
+++ b/proof/configuration_test.go
@@ -18,12 +18,16 @@
 )
 
 const (
-	// inForceLimit is the promise for one failure, quietLimit without any.
-	inForceLimit = 6 * time.Second
-	quietLimit   = time.Second
+	// propagationLimit is the longest time in which all entries apply a change of
+	// the configuration under one failure, healthyPropagationLimit without a
+	// failure.
+	propagationLimit        = 6 * time.Second
+	healthyPropagationLimit = time.Second
 )
 
-func inForce(si *testsite.Site, revision store.Revision, entries ...int) func() bool {
+// hasRevision returns a condition that holds once each of the entries has the
+// policy of a revision, or of a later one.
+func hasRevision(si *testsite.Site, revision store.Revision, entries ...int) func() bool {
 	return func() bool {
 		for _, n := range entries {
 			if si.State(n).PolicyRevision < revision {
@@ -34,90 +38,98 @@
 	}
 }
 
-func describe(n int) string {
+// modelRecord returns the record of model "m" with a description that contains n.
+func modelRecord(n int) string {
 	return testsite.Record("model", "m", fmt.Sprintf(`{"stable_version":"m-1","description":"change %d"}`, n))
 }
 
-func TestConfigurationIsInForceInTime(t *testing.T) {
+// TestConfigurationTakesEffectWithinLimit measures how long a change takes to reach
+// all entries, without and with one failure.
+func TestConfigurationTakesEffectWithinLimit(t *testing.T) {
 	entryHost := func(n int) testsite.Host { return testsite.Host(testsite.EntryName(n)) }
 	cases := map[string]struct {
 		limit time.Duration
 		fault func(si *testsite.Site)
 	}{
-		"no failure": {quietLimit, func(*testsite.Site) {}},
-		"entry's connections to the store go silent": {inForceLimit, func(si *testsite.Site) {
+		"no failure": {healthyPropagationLimit, func(*testsite.Site) {}},
+		"entry's connections to the store go silent": {propagationLimit, func(si *testsite.Site) {
 			si.Net.Silence(entryHost(2), testsite.StoreAddress)
 		}},
-		"every entry's connections to the store go silent": {inForceLimit, func(si *testsite.Site) {
+		"every entry's connections to the store go silent": {propagationLimit, func(si *testsite.Site) {
 			for n := 1; n <= 3; n++ {
 				si.Net.Silence(entryHost(n), testsite.StoreAddress)
 			}
 		}},
-		"entry cut off from the store": {inForceLimit, func(si *testsite.Site) {
+		"entry cut off from the store": {propagationLimit, func(si *testsite.Site) {
 			si.Net.Cut(entryHost(2), testsite.StoreAddress)
 		}},
-		"entry cut off from its peers": {inForceLimit, func(si *testsite.Site) {
+		"entry cut off from its peers": {propagationLimit, func(si *testsite.Site) {
 			for _, n := range []int{1, 3} {
 				si.Net.Cut(entryHost(2), testsite.PeerAddress(n))
 				si.Net.Cut(entryHost(n), testsite.PeerAddress(2))
 			}
 		}},
-		"only one entry reaches the store": {inForceLimit, func(si *testsite.Site) {
+		"only one entry reaches the store": {propagationLimit, func(si *testsite.Site) {
 			si.Net.Cut(entryHost(2), testsite.StoreAddress)
 			si.Net.Cut(entryHost(3), testsite.StoreAddress)
 		}},
-		"another entry is killed": {inForceLimit, func(si *testsite.Site) {
+		"another entry is killed": {propagationLimit, func(si *testsite.Site) {
 			si.KillEntry(3)
 			si.StartEntry(3)
 		}},
-		"store loses the answer of the change": {inForceLimit, func(si *testsite.Site) {
+		"store loses the response to the change": {propagationLimit, func(si *testsite.Site) {
 			si.Store.Set(standin.Faults{LoseAnswers: 2})
 		}},
 	}
-	for name, ca := range cases {
+	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			withSite(t, testsite.Options{Entries: 3, Engines: 1}, func(t *testing.T, si *testsite.Site) {
-				ca.fault(si)
-				revision := si.Apply(describe(1))
-				took := si.Eventually(ca.limit, "change in force everywhere", inForce(si, revision, 1, 2, 3))
-				t.Logf("in force after %s", took)
+				tc.fault(si)
+				revision := si.Apply(modelRecord(1))
+				took := si.Eventually(tc.limit, "change applied by all entries", hasRevision(si, revision, 1, 2, 3))
+				t.Logf("applied by all entries after %s", took)
 			})
 		})
 	}
 }
 
-func TestEntryStartedInAStoreOutageTakesItsPeersNewest(t *testing.T) {
+// TestEntryStartedInStoreOutageGetsPolicyFromPeers restarts an entry while the store
+// is down. It must fetch the newest policy from its peers and serve requests.
+func TestEntryStartedInStoreOutageGetsPolicyFromPeers(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 3, Engines: 1}, func(t *testing.T, si *testsite.Site) {
-		revision := si.Apply(describe(1))
-		si.Eventually(quietLimit, "in force", inForce(si, revision, 1, 2, 3))
+		revision := si.Apply(modelRecord(1))
+		si.Eventually(healthyPropagationLimit, "change applied", hasRevision(si, revision, 1, 2, 3))
 		si.Store.Set(standin.Faults{Down: true})
 		time.Sleep(5 * time.Second)
 		si.KillEntry(2)
 		si.StartEntry(2)
-		si.Eventually(inForceLimit, "newest policy at the new entry", inForce(si, revision, 2))
-		si.Eventually(inForceLimit, "new entry serves", func() bool { return si.Chat(testsite.Call{Entry: 2}).Status == 200 })
+		si.Eventually(propagationLimit, "newest policy at the restarted entry", hasRevision(si, revision, 2))
+		si.Eventually(propagationLimit, "restarted entry serves requests", func() bool { return si.Chat(testsite.Call{Entry: 2}).Status == 200 })
 	})
 }
 
-func TestRevisionNeverFalls(t *testing.T) {
+// TestRevisionNeverDecreases samples the policy's revision and number of records at
+// three entries during changes. Neither may decrease when connections to the store
+// stall or when a peer with an old policy reconnects.
+func TestRevisionNeverDecreases(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 4, Engines: 1}, func(t *testing.T, si *testsite.Site) {
 		var mu sync.Mutex
-		highest, most := map[int]store.Revision{}, map[int]int{}
+		highestRevision, mostRecords := map[int]store.Revision{}, map[int]int{}
 		stop := make(chan struct{})
 		sample := func() {
 			mu.Lock()
 			defer mu.Unlock()
 			for n := 1; n <= 3; n++ {
-				now := si.State(n).PolicyRevision
-				if now < highest[n] {
-					t.Errorf("entry-%d fell from revision %d to %d", n, highest[n], now)
+				revision := si.State(n).PolicyRevision
+				if revision < highestRevision[n] {
+					t.Errorf("entry-%d went back from revision %d to %d", n, highestRevision[n], revision)
 				}
-				highest[n] = now
+				highestRevision[n] = revision
 				records := si.State(n).PolicyRecords
-				if records < most[n] {
-					t.Errorf("entry-%d lost records: %d, had %d", n, records, most[n])
+				if records < mostRecords[n] {
+					t.Errorf("entry-%d has %d policy records, had %d before", n, records, mostRecords[n])
 				}
-				most[n] = records
+				mostRecords[n] = records
 			}
 		}
 		sample()
@@ -132,11 +144,11 @@
 				}
 			}
 		})
-		// Entry 4 is held back at an old state, and then meets the others again.
-		old := testsite.Host(testsite.EntryName(4))
-		si.Net.Cut(old, testsite.StoreAddress)
+		// Entry-4 is cut off at an old revision, and then reconnects to its peers.
+		isolated := testsite.Host(testsite.EntryName(4))
+		si.Net.Cut(isolated, testsite.StoreAddress)
 		for n := 1; n <= 3; n++ {
-			si.Net.Cut(old, testsite.PeerAddress(n))
+			si.Net.Cut(isolated, testsite.PeerAddress(n))
 			si.Net.Cut(testsite.Host(testsite.EntryName(n)), testsite.PeerAddress(4))
 		}
 		var last store.Revision
@@ -144,20 +156,23 @@
 			if n%5 == 3 {
 				si.Net.Silence(testsite.Host(testsite.EntryName(1+n%3)), testsite.StoreAddress)
 			}
-			last = si.Apply(describe(n))
+			last = si.Apply(modelRecord(n))
 			time.Sleep(300 * time.Millisecond)
 		}
 		for n := 1; n <= 3; n++ {
-			si.Net.Mend(old, testsite.PeerAddress(n))
+			si.Net.Mend(isolated, testsite.PeerAddress(n))
 			si.Net.Mend(testsite.Host(testsite.EntryName(n)), testsite.PeerAddress(4))
 		}
-		si.Eventually(inForceLimit, "in force everywhere", inForce(si, last, 1, 2, 3, 4))
+		si.Eventually(propagationLimit, "last change applied by all entries", hasRevision(si, last, 1, 2, 3, 4))
 		close(stop)
 		wg.Wait()
 	})
 }
 
-func TestOperatorsRaceOnOneRecord(t *testing.T) {
+// TestConcurrentChangesToOneRecordConflict lets five operators change the record that
+// they all read at the same revision. One change is applied; the others must fail with
+// a conflict.
+func TestConcurrentChangesToOneRecordConflict(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 1, Engines: 1}, func(t *testing.T, si *testsite.Site) {
 		var mu sync.Mutex
 		var applied, conflicts int
@@ -171,10 +186,10 @@
 			wg.Go(func() {
 				wr, cl := si.Writer(testsite.Host(fmt.Sprintf("operator-%d", n)))
 				defer cl.Close()
-				mine, err := re.With("spec.description", fmt.Sprintf("by %d", n))
+				changed, err := re.With("spec.description", fmt.Sprintf("by %d", n))
 				qt.Check(t, err, qt.IsNil)
 				_, err = wr.Apply(t.Context(), configuration.Request{
-					ChangedBy: fmt.Sprintf("operator-%d", n), Changes: []configuration.Change{{Record: mine, Base: base}},
+					ChangedBy: fmt.Sprintf("operator-%d", n), Changes: []configuration.Change{{Record: changed, Base: base}},
 				})
 				mu.Lock()
 				defer mu.Unlock()
@@ -187,7 +202,7 @@
 					qt.Check(t, co.Mine, qt.Not(qt.Equals), co.Theirs)
 					qt.Check(t, co.TheirBy, qt.Not(qt.Equals), "")
 				default:
-					t.Errorf("neither applied nor a conflict: %v", err)
+					t.Errorf("got error %v, want nil or a conflict", err)
 				}
 			})
 		}
@@ -197,15 +212,18 @@
 	})
 }
 
-func TestOperatorsRaceOnRecordsThatDependOnEachOther(t *testing.T) {
+// TestConcurrentChangesKeepReferencesValid lets two operators change different records
+// at once, each change valid by itself but not after the other. Comparing only the
+// changed records would let both pass.
+func TestConcurrentChangesKeepReferencesValid(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 1, Engines: 1}, func(t *testing.T, si *testsite.Site) {
 		for round := range 10 {
 			si.Apply(
 				testsite.Record("model", "spare", `{"stable_version":"spare-1"}`),
 				testsite.Record("version", "spare-1", `{"model":"spare"}`),
 			)
-			// One operator lets an organisation use the model, the other one
-			// deletes it: only one of them can be right.
+			// One operator adds a cascade that uses the model, the other one deletes
+			// the model. Only one of the changes is valid after the other.
 			errs := make([]error, 2)
 			var wg sync.WaitGroup
 			wg.Go(func() {
@@ -232,11 +250,13 @@
 	})
 }
 
-func TestLostAnswerOfAChangeIsNeitherDoubledNorFalselyFailed(t *testing.T) {
+// TestChangeWithLostStoreResponseIsAppliedOnce loses up to four of the store's
+// responses to a change. The change must succeed and appear in the history once.
+func TestChangeWithLostStoreResponseIsAppliedOnce(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 1, Engines: 1}, func(t *testing.T, si *testsite.Site) {
 		for n := 1; n <= 4; n++ {
 			si.Store.Set(standin.Faults{LoseAnswers: n})
-			rs, err := si.TryApply("operator-a", describe(n))
+			rs, err := si.TryApply("operator-a", modelRecord(n))
 			qt.Assert(t, err, qt.IsNil)
 			qt.Assert(t, rs.Revision > 0, qt.IsTrue)
 			si.Store.Set(standin.Faults{})
@@ -250,29 +270,34 @@
 	})
 }
 
-func TestEntryCutOffFromEverythingRefusesNewWork(t *testing.T) {
+// TestIsolatedEntryRefusesRequests cuts an entry off from the store and from its
+// peers. It could run requests on a withdrawn version, so it must refuse them until
+// it is reconnected.
+func TestIsolatedEntryRefusesRequests(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 3, Engines: 1}, func(t *testing.T, si *testsite.Site) {
-		lone := testsite.Host(testsite.EntryName(3))
-		si.Net.Cut(lone, testsite.StoreAddress)
+		isolated := testsite.Host(testsite.EntryName(3))
+		si.Net.Cut(isolated, testsite.StoreAddress)
 		for n := 1; n <= 2; n++ {
-			si.Net.Cut(lone, testsite.PeerAddress(n))
+			si.Net.Cut(isolated, testsite.PeerAddress(n))
 			si.Net.Cut(testsite.Host(testsite.EntryName(n)), testsite.PeerAddress(3))
 		}
 		si.Apply(testsite.Record("version", "m-1", `{"model":"m","state":"WITHDRAWN"}`), testsite.Record("model", "m", `{"stable_version":"m-2"}`))
-		time.Sleep(inForceLimit)
+		time.Sleep(propagationLimit)
 		an := si.Chat(testsite.Call{Entry: 3})
 		qt.Assert(t, an.Status, qt.Equals, 503)
 		qt.Assert(t, an.Body, qt.Contains, "isolated")
 		qt.Assert(t, an.Ran(), qt.Equals, entry.NotRun)
 		qt.Assert(t, len(si.Addresses(1)), qt.Equals, 2)
 		qt.Assert(t, si.Chat(testsite.Call{Entry: 1}).Header.Get(entry.HeaderVersion), qt.Equals, "m-2")
-		si.Net.Mend(lone, testsite.StoreAddress)
-		si.Eventually(inForceLimit, "entry serves again", func() bool {
+		si.Net.Mend(isolated, testsite.StoreAddress)
+		si.Eventually(propagationLimit, "reconnected entry serves the new stable version", func() bool {
 			return si.Chat(testsite.Call{Entry: 3}).Header.Get(entry.HeaderVersion) == "m-2"
 		})
 	})
 }
 
+// TestStoreOutageDoesNotStopService serves chat requests for a minute while the store
+// does not answer.
 func TestStoreOutageDoesNotStopService(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 3, Engines: 2}, func(t *testing.T, si *testsite.Site) {
 		si.Store.Set(standin.Faults{Freeze: true})
--- a/proof/helper_test.go
+++ b/proof/helper_test.go
@@ -8,10 +8,12 @@
 	"tanagerpoint.example/tanager/vm"
 )
 
-func hashOf(key string) string { return policy.HashKey(key) }
+func hashKey(key string) string { return policy.HashKey(key) }
 
+// leavingVM returns an endpoint's VM as the VM list has it before the VM goes away.
 func leavingVM(endpoint, address string) vm.VM {
 	return vm.VM{ID: vm.ID(endpoint), Role: vm.RoleEndpoint, State: vm.Leaving, Address: address, Endpoint: endpoint}
 }
 
+// asConflict reports whether err is a conflict of changes, and sets *co to it.
 func asConflict(err error, co **configuration.Conflict) bool { return errors.As(err, co) }
--- a/proof/history_test.go
+++ b/proof/history_test.go
@@ -18,20 +18,22 @@
 	"tanagerpoint.example/tanager/testsite"
 )
 
-// change is an operator's compare-and-swap of one record's description, or a
-// read of it when Next is empty.
+// change is an operator's compare-and-swap of a record's description from base
+// to next, or a read of it if next is empty.
 type change struct {
 	base, next string
 }
 
-// result is what the operator was told.
+// result is the outcome that an operator saw: the value read, or whether the
+// change was applied. unknown means that the change may or may not be applied.
 type result struct {
 	read    string
 	applied bool
 	unknown bool
 }
 
-// recordModel is one record that is read, and changed by compare-and-swap.
+// recordModel is the sequential specification of one record that is read and
+// changed by compare-and-swap. Its state is the record's description.
 var recordModel = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
@@ -52,30 +54,32 @@
 	},
 }
 
-// TestChangesAreLinearizable lets operators read and change one record while
-// the store loses answers and goes down, and checks the history.
+// TestChangesAreLinearizable lets four operators read and change one record
+// while the store loses responses, is slow or is down, and checks that the
+// history is linearizable. The seed determines the faults and their
+// durations.
 func TestChangesAreLinearizable(t *testing.T) {
 	for seed := range uint64(5) {
 		withSite(t, testsite.Options{Entries: 1, Engines: 1}, func(t *testing.T, si *testsite.Site) {
 			var clock atomic.Int64
 			var mu sync.Mutex
 			var history []porcupine.Operation
-			note := func(client int, in change, call int64, out result) {
+			record := func(client int, in change, calledAt int64, out result) {
 				mu.Lock()
 				defer mu.Unlock()
-				returned := clock.Add(1)
+				returnedAt := clock.Add(1)
 				if out.unknown {
-					// It may take effect at any later time.
-					returned = math.MaxInt64
+					// The change may take effect at any later time.
+					returnedAt = math.MaxInt64
 				}
-				history = append(history, porcupine.Operation{ClientId: client, Input: in, Call: call, Output: out, Return: returned})
+				history = append(history, porcupine.Operation{ClientId: client, Input: in, Call: calledAt, Output: out, Return: returnedAt})
 			}
 			var wg sync.WaitGroup
 			for client := range 4 {
 				wg.Go(func() {
 					rng := rand.New(rand.NewPCG(seed, uint64(client)))
 					for n := range 6 {
-						operate(t, si, client, n, &clock, note)
+						readAndChange(t, si, client, n, &clock, record)
 						time.Sleep(time.Duration(rng.IntN(200)) * time.Millisecond)
 					}
 				})
@@ -93,11 +97,12 @@
 	}
 }
 
-// operate reads the record and changes what it read.
-func operate(t *testing.T, si *testsite.Site, client, n int, clock *atomic.Int64, note func(int, change, int64, result)) {
+// readAndChange reads the record, repeating until the store answers, and changes
+// the description that it read. It records both operations.
+func readAndChange(t *testing.T, si *testsite.Site, client, n int, clock *atomic.Int64, record func(int, change, int64, result)) {
 	wr, cl := si.Writer(testsite.Host(fmt.Sprint("operator-", client)))
 	defer cl.Close()
-	call := clock.Add(1)
+	calledAt := clock.Add(1)
 	se, _, err := wr.Load(t.Context())
 	for err != nil {
 		time.Sleep(50 * time.Millisecond)
@@ -105,20 +110,20 @@
 	}
 	re, base, _ := se.Record(policy.KindModel, "m")
 	mo, _ := se.Models.ByID("m")
-	note(client, change{}, call, result{read: mo.Description})
+	record(client, change{}, calledAt, result{read: mo.Description})
 
 	in := change{base: mo.Description, next: fmt.Sprintf("%d-%d", client, n)}
-	mine, err := re.With("spec.description", in.next)
+	changed, err := re.With("spec.description", in.next)
 	qt.Check(t, err, qt.IsNil)
-	call = clock.Add(1)
-	rs, err := wr.Apply(t.Context(), configuration.Request{ChangedBy: "operator", Changes: []configuration.Change{{Record: mine, Base: base}}})
+	calledAt = clock.Add(1)
+	rs, err := wr.Apply(t.Context(), configuration.Request{ChangedBy: "operator", Changes: []configuration.Change{{Record: changed, Base: base}}})
 	var co *configuration.Conflict
 	switch {
 	case err == nil:
-		note(client, in, call, result{applied: rs.Revision > 0})
+		record(client, in, calledAt, result{applied: rs.Revision > 0})
 	case asConflict(err, &co):
-		note(client, in, call, result{})
+		record(client, in, calledAt, result{})
 	default:
-		note(client, in, call, result{unknown: true})
+		record(client, in, calledAt, result{unknown: true})
 	}
 }
--- a/proof/limit_test.go
+++ b/proof/limit_test.go
@@ -16,9 +16,11 @@
 	"tanagerpoint.example/tanager/testsite"
 )
 
-func TestCallersMistakesGetClearErrors(t *testing.T) {
+// TestInvalidRequestsAreRejected checks the status and the error code of invalid
+// requests, and that none of them reaches an engine.
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 1, Engines: 1, EntrySettings: map[string]string{"serving": "max_body_bytes = 2048", "billing": "copies = 0"}}, func(t *testing.T, si *testsite.Site) {
-		for _, ca := range []struct {
+		for _, tc := range []struct {
 			call   testsite.Call
 			status int
 			code   string
@@ -30,18 +32,20 @@
 			{testsite.Call{Header: map[string]string{entry.HeaderSessionID: strings.Repeat("x", 300)}}, 400, "invalid_request"},
 			{testsite.Call{Header: map[string]string{entry.HeaderDeadline: "1"}}, 429, "deadline_unreachable"},
 		} {
-			an := si.Chat(ca.call)
-			qt.Assert(t, an.Status, qt.Equals, ca.status, qt.Commentf("%s", an.Body))
-			qt.Assert(t, an.Body, qt.Contains, ca.code)
+			an := si.Chat(tc.call)
+			qt.Assert(t, an.Status, qt.Equals, tc.status, qt.Commentf("%s", an.Body))
+			qt.Assert(t, an.Body, qt.Contains, tc.code)
 			qt.Assert(t, an.Ran(), qt.Equals, entry.NotRun)
 		}
 		qt.Assert(t, si.Engines["engine-1"].Ran(), qt.HasLen, 0)
 	})
 }
 
-func TestOrganisationsBoundIsKept(t *testing.T) {
-	bound := testsite.Record("organisation", "chest", fmt.Sprintf(`{"key_hashes":[%q],"allowed_models":["*"],"max_in_flight":3}`, hashOf(testsite.CallerKey)))
-	withSite(t, testsite.Options{Entries: 1, Engines: 1, Records: []string{bound}, EntrySettings: alone()}, func(t *testing.T, si *testsite.Site) {
+// TestOrganisationInFlightLimitIsEnforced sends ten requests at once for an
+// organisation that may have three in service.
+func TestOrganisationInFlightLimitIsEnforced(t *testing.T) {
+	record := testsite.Record("organisation", "chest", fmt.Sprintf(`{"key_hashes":[%q],"allowed_models":["*"],"max_in_flight":3}`, hashKey(testsite.CallerKey)))
+	withSite(t, testsite.Options{Entries: 1, Engines: 1, Records: []string{record}, EntrySettings: singleEntrySettings()}, func(t *testing.T, si *testsite.Site) {
 		var wg sync.WaitGroup
 		var mu sync.Mutex
 		refused := 0
@@ -62,12 +66,13 @@
 	})
 }
 
-// TestSlowCallersAreGivenUp opens connections that send their headers, or
-// their body, too slowly.
-func TestSlowCallersAreGivenUp(t *testing.T) {
-	withSite(t, testsite.Options{Entries: 1, Engines: 1, EntrySettings: alone()}, func(t *testing.T, si *testsite.Site) {
+// TestSlowCallersAreDisconnected opens connections that send incomplete
+// headers, or an incomplete body. Without read deadlines such callers hold
+// connections for ever.
+func TestSlowCallersAreDisconnected(t *testing.T) {
+	withSite(t, testsite.Options{Entries: 1, Engines: 1, EntrySettings: singleEntrySettings()}, func(t *testing.T, si *testsite.Site) {
 		head := "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n"
-		for name, ca := range map[string]struct {
+		for name, tc := range map[string]struct {
 			text  string
 			limit time.Duration
 		}{
@@ -77,41 +82,45 @@
 			co, err := si.Net.Of(testsite.Caller).Dial(t.Context(), "tcp", testsite.EntryAddress(1))
 			qt.Assert(t, err, qt.IsNil)
 			started := time.Now()
-			_, err = co.Write([]byte(ca.text))
+			_, err = co.Write([]byte(tc.text))
 			qt.Assert(t, err, qt.IsNil)
 			_, _ = io.ReadAll(co)
-			qt.Assert(t, time.Since(started) <= ca.limit, qt.IsTrue, qt.Commentf("%s: held for %s", name, time.Since(started)))
+			qt.Assert(t, time.Since(started) <= tc.limit, qt.IsTrue, qt.Commentf("slow %s: the connection stayed open for %s", name, time.Since(started)))
 			_ = co.Close()
 		}
-		si.Eventually(time.Second, "nothing in flight", func() bool { return si.State(1).InFlight == 0 })
+		si.Eventually(time.Second, "no request in flight", func() bool { return si.State(1).InFlight == 0 })
 	})
 }
 
-func TestCallerThatStopsReadingIsGivenUp(t *testing.T) {
-	withSite(t, testsite.Options{Entries: 1, Engines: 1, EntrySettings: alone()}, func(t *testing.T, si *testsite.Site) {
+// TestCallerThatStopsReadingIsDisconnected asks for a stream and reads nothing.
+// Without a write deadline the request would stay in service for ever.
+func TestCallerThatStopsReadingIsDisconnected(t *testing.T) {
+	withSite(t, testsite.Options{Entries: 1, Engines: 1, EntrySettings: singleEntrySettings()}, func(t *testing.T, si *testsite.Site) {
 		co, err := si.Net.Of(testsite.Caller).Dial(t.Context(), "tcp", testsite.EntryAddress(1))
 		qt.Assert(t, err, qt.IsNil)
 		body := `{"model":"m","stream":true,"max_tokens":50,"messages":[{"role":"user","content":"x"}]}`
 		_, err = fmt.Fprintf(co, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n\r\n%s", testsite.CallerKey, len(body), body)
 		qt.Assert(t, err, qt.IsNil)
 		si.Eventually(time.Second, "request in service", func() bool { return si.State(1).InFlight == 1 })
-		// The connection is open, and nobody reads from it.
-		si.Eventually(15*time.Second, "caller given up", func() bool { return si.State(1).InFlight == 0 })
+		// The connection stays open, and nothing reads from it.
+		si.Eventually(15*time.Second, "connection of the caller closed", func() bool { return si.State(1).InFlight == 0 })
 		_ = co.Close()
-		// The endpoint is not blamed, and what came is billed.
+		// The caller's failure does not count against the endpoint, and the
+		// partial answer is billed.
 		qt.Assert(t, si.State(1).Endpoints["engine-1"].Failures, qt.Equals, 0)
 		time.Sleep(2 * time.Second)
 		qt.Assert(t, si.Bills().Bills[0].GetOutcome(), qt.Equals, "cancelled")
 	})
 }
 
-// TestPartitionedFailureDomain cuts two entries and their stewards' store off
-// from the rest, changes the configuration, and mends the cut.
+// TestPartitionedFailureDomain cuts the two entries of one failure domain off
+// from the store and from the other entries, withdraws a version, and restores the
+// links. The isolated entries must not run requests on the withdrawn version.
 func TestPartitionedFailureDomain(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 6, Engines: 2, Plains: 1}, func(t *testing.T, si *testsite.Site) {
-		lost := []int{3, 6}
-		each := func(fn func(from testsite.Host, to string)) {
-			for _, a := range lost {
+		isolated := []int{3, 6}
+		eachLink := func(fn func(from testsite.Host, to string)) {
+			for _, a := range isolated {
 				fn(testsite.Host(testsite.EntryName(a)), testsite.StoreAddress)
 				for _, b := range []int{1, 2, 4, 5} {
 					fn(testsite.Host(testsite.EntryName(a)), testsite.PeerAddress(b))
@@ -119,20 +128,20 @@
 				}
 			}
 		}
-		each(si.Net.Cut)
+		eachLink(si.Net.Cut)
 		revision := si.Apply(testsite.Record("version", "m-1", `{"model":"m","state":"WITHDRAWN"}`), testsite.Record("model", "m", `{"stable_version":"m-2"}`))
-		si.Eventually(inForceLimit, "in force on the side of the store", inForce(si, revision, 1, 2, 4, 5))
-		si.Eventually(inForceLimit, "the other side refuses", func() bool {
+		si.Eventually(propagationLimit, "change applied by the entries that reach the store", hasRevision(si, revision, 1, 2, 4, 5))
+		si.Eventually(propagationLimit, "the isolated entries refuse requests", func() bool {
 			return si.Chat(testsite.Call{Entry: 3}).Status == 503 && si.Chat(testsite.Call{Entry: 6}).Status == 503
 		})
 		refusedAt := time.Now()
 		time.Sleep(5 * time.Second)
-		qt.Assert(t, lastRun(si, "m-1").After(refusedAt), qt.IsFalse)
+		qt.Assert(t, lastReceived(si, "m-1").After(refusedAt), qt.IsFalse)
 		an := si.Desk(testsite.Call{Entry: 3}, "POST", "order-1", "{}")
 		qt.Assert(t, an.Ran(), qt.Equals, entry.NotRun)
 		qt.Assert(t, len(si.Addresses(1)), qt.Equals, 4)
-		each(si.Net.Mend)
-		si.Eventually(inForceLimit, "all serve the newest", func() bool {
+		eachLink(si.Net.Mend)
+		si.Eventually(propagationLimit, "all entries serve the new stable version", func() bool {
 			for n := 1; n <= 6; n++ {
 				if si.Chat(testsite.Call{Entry: n}).Header.Get(entry.HeaderVersion) != "m-2" {
 					return false
@@ -143,8 +152,10 @@
 	})
 }
 
-// TestRetriesAreNoStorm loses a failure domain under load.
-func TestRetriesAreNoStorm(t *testing.T) {
+// TestRetriesDoNotAmplifyLoad freezes one of three endpoints under load. At
+// most a tenth more requests may be sent to the endpoints than were received, and at
+// most 10 of 300 may fail.
+func TestRetriesDoNotAmplifyLoad(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 2, Engines: 3}, func(t *testing.T, si *testsite.Site) {
 		received, sent := 0, func() int {
 			n := 0
@@ -167,14 +178,18 @@
 	})
 }
 
-// TestEntriesShareThePoolWhateverTheirNames has entry-1 beside entry-10 and
-// entry-11: each one's report counts once.
-func TestEntriesShareThePoolWhateverTheirNames(t *testing.T) {
+// TestPoolSharesCountEachEntryOnce runs entry-1 beside entry-10 and entry-11.
+// The entries' shares must add up to the pool's capacity. An entry that looked up
+// reports by a prefix of the name counted those of entry-10 and entry-11 for
+// entry-1 as well, and the sum came to 23.6 of 32 slots. The sum of one moment
+// varies with the demand (28.3 was seen without a fault), so the test takes the
+// mean of 100 samples.
+func TestPoolSharesCountEachEntryOnce(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 11, Engines: 4}, func(t *testing.T, si *testsite.Site) {
 		ctx, cancel := context.WithCancel(t.Context())
-		var an answers
+		var br billRecorder
 		var wg sync.WaitGroup
-		load(ctx, si, &an, &wg, 1, 2, 10, 11)
+		generateLoad(ctx, si, &br, &wg, 1, 2, 10, 11)
 		time.Sleep(2 * time.Second)
 		const samples = 100
 		sum := 0.0
@@ -187,6 +202,6 @@
 		cancel()
 		wg.Wait()
 		const slots = 4 * 8
-		qt.Assert(t, sum > 0.9*slots && sum < 1.1*slots, qt.IsTrue, qt.Commentf("entries share %.1f slots of %d", sum, slots))
+		qt.Assert(t, sum > 0.9*slots && sum < 1.1*slots, qt.IsTrue, qt.Commentf("the entries' shares add up to %.1f of %d slots", sum, slots))
 	})
 }
--- a/proof/proof_test.go
+++ b/proof/proof_test.go
@@ -1,5 +1,5 @@
-// Package proof_test proves, under failure, each point of what must always
-// hold. docs/PROOFS.md has a row for each test.
+// Package proof_test checks the invariants of a site under injected failures.
+// docs/PROOFS.md has a row for each test.
 package proof_test
 
 import (
@@ -9,7 +9,8 @@
 	"tanagerpoint.example/tanager/testsite"
 )
 
-// withSite runs fn on a site in virtual time.
+// withSite runs fn on a new site, in virtual time, and closes the site
+// afterwards.
 func withSite(t *testing.T, opt testsite.Options, fn func(t *testing.T, si *testsite.Site)) {
 	synctest.Test(t, func(t *testing.T) {
 		si := testsite.New(t, opt)
--- a/proof/seefail.sh
+++ b/proof/seefail.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Puts each seeded fault of faults.txt to a copy of the tree and checks that
-# its test fails there. An argument limits it to faults whose names match.
+# Applies each seeded fault of faults.txt to a copy of the tree and checks that its
+# test fails there. An argument, a regular expression, selects faults by their names.
+# Exits with status 1 if a fault does not apply or build, or if its test passes.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 copy="$(mktemp -d)"
@@ -13,19 +14,20 @@
   file="$(tr -d ' ' <<<"$file")"
   case "$name" in ''|'#'*) continue ;; esac
   [[ "$name" =~ ${1:-.} ]] || continue
-  cp "$copy/$file" "$copy/$file.whole"
+  cp "$copy/$file" "$copy/$file.orig"
   perl -0pi -e "${change# }" "$copy/$file"
-  if cmp -s "$copy/$file" "$copy/$file.whole"; then
-    echo "FAIL  $name: the fault does not apply to $file"; failed=1
+  if cmp -s "$copy/$file" "$copy/$file.orig"; then
+    echo "FAIL  $name: the substitution does not change $file"; failed=1
   elif (cd "$copy" && go vet "./$(dirname "$file")" >"$copy/vet.log" 2>&1 || true; cd "$copy" && go build ./... >"$copy/build.log" 2>&1); then
     if (cd "$copy" && timeout 300 go test -count=1 -run "^$test\$" ./proof/ ./router/ ./platform/ ./retry/ ./rollout/ >"$copy/test.log" 2>&1); then
-      echo "FAIL  $name: $test passes without the mechanism"; failed=1
+      echo "FAIL  $name: $test passes with the fault"; failed=1
     else
       echo "ok    $name: $test fails"
     fi
   else
-    echo "FAIL  $name: does not build"; cat "$copy/build.log"; failed=1
+    echo "FAIL  $name: the tree does not build with the fault"; cat "$copy/build.log"; failed=1
   fi
-  mv "$copy/$file.whole" "$copy/$file"
+  mv "$copy/$file.orig" "$copy/$file"
+# The columns end with ' | '; ' || ' within a substitution is hidden from the split.
 done < <(sed 's/ || / OROR /g' proof/faults.txt | sed 's/ | /|/1; s/ | /|/1; s/ | /|/1' | sed 's/ OROR / || /g' | awk -F'|' 'NF{print}')
 exit "$failed"
--- a/proof/serve_test.go
+++ b/proof/serve_test.go
@@ -9,7 +9,9 @@
 	"tanagerpoint.example/tanager/testsite"
 )
 
-func TestServesWholeAndStreamedAtEveryEntry(t *testing.T) {
+// TestEveryEntryServesStreamedAndUnstreamedAnswers checks the text of a chat
+// completion from each entry without any failure.
+func TestEveryEntryServesStreamedAndUnstreamedAnswers(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 3, Engines: 2}, func(t *testing.T, si *testsite.Site) {
 		for n := 1; n <= 3; n++ {
 			for _, stream := range []bool{false, true} {
--- a/proof/steward_test.go
+++ b/proof/steward_test.go
@@ -21,7 +21,7 @@
 	"tanagerpoint.example/tanager/testsite"
 )
 
-// rollout gives the record of the roll-out as the store has it.
+// rolloutState returns roll-out "r" and the whole policy as the store has them.
 func rolloutState(t *testing.T, si *testsite.Site) (policy.Rollout, *policy.Set) {
 	t.Helper()
 	wr, cl := si.Writer("reader")
@@ -33,8 +33,9 @@
 	return ro, se
 }
 
-// rolloutEnds waits until a roll-out is in a state.
-func rolloutEnds(t *testing.T, si *testsite.Site, state rpc.RolloutState) {
+// waitForRollout blocks until roll-out "r" is in a state, and fails the test after
+// three minutes.
+func waitForRollout(t *testing.T, si *testsite.Site, state rpc.RolloutState) {
 	t.Helper()
 	si.Eventually(3*time.Minute, "roll-out is "+state.String(), func() bool {
 		time.Sleep(200 * time.Millisecond)
@@ -43,14 +44,16 @@
 	})
 }
 
+// TestGoodVersionIsRolledOut runs a roll-out under load until the new version is the
+// stable one.
 func TestGoodVersionIsRolledOut(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 2, Stewards: 2, Engines: 3}, func(t *testing.T, si *testsite.Site) {
 		ctx, cancel := context.WithCancel(t.Context())
-		var an answers
+		var br billRecorder
 		var wg sync.WaitGroup
-		load(ctx, si, &an, &wg, 1, 2)
-		si.Apply(rolloutAt(0))
-		rolloutEnds(t, si, rpc.RolloutState_DONE)
+		generateLoad(ctx, si, &br, &wg, 1, 2)
+		si.Apply(runningRollout(0))
+		waitForRollout(t, si, rpc.RolloutState_DONE)
 		cancel()
 		wg.Wait()
 		_, se := rolloutState(t, si)
@@ -59,6 +62,10 @@
 	})
 }
 
+// TestBadVersionIsStoppedAndWithdrawn rolls out a version that fails, or whose rated
+// quality is too low. The roll-out must be aborted before half of the requests go to
+// the version, and the version must receive no request later than a second after
+// that.
 func TestBadVersionIsStoppedAndWithdrawn(t *testing.T) {
 	faults := map[string]func(si *testsite.Site){
 		"errors": func(si *testsite.Site) {
@@ -66,84 +73,89 @@
 				en.Set(standin.Faults{FailModel: "m-2"})
 			}
 		},
-		"rated 0.3 below": func(si *testsite.Site) { si.Rating.SetQuality("m-2", 0.5) },
+		"rated quality 0.3 lower": func(si *testsite.Site) { si.Rating.SetQuality("m-2", 0.5) },
 	}
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
 			withSite(t, testsite.Options{Entries: 3, Stewards: 2, Engines: 3}, func(t *testing.T, si *testsite.Site) {
 				fault(si)
 				ctx, cancel := context.WithCancel(t.Context())
-				var an answers
+				var br billRecorder
 				var wg sync.WaitGroup
-				load(ctx, si, &an, &wg, 1, 2, 3)
+				generateLoad(ctx, si, &br, &wg, 1, 2, 3)
 				time.Sleep(2 * time.Second)
-				si.Apply(rolloutAt(0.1))
-				rolloutEnds(t, si, rpc.RolloutState_ABORTED)
+				si.Apply(runningRollout(0.1))
+				waitForRollout(t, si, rpc.RolloutState_ABORTED)
 				ro, se := rolloutState(t, si)
 				ve, _ := se.Versions.ByID("m-2")
 				qt.Assert(t, ve.Live(), qt.IsFalse)
 				qt.Assert(t, ro.Reason, qt.Not(qt.Equals), "")
 				qt.Assert(t, ro.Share < 0.5, qt.IsTrue)
-				time.Sleep(quietLimit)
+				time.Sleep(healthyPropagationLimit)
 				stoppedAt := time.Now()
 				time.Sleep(2 * time.Second)
 				cancel()
 				wg.Wait()
-				qt.Assert(t, lastRun(si, "m-2").After(stoppedAt), qt.IsFalse)
+				qt.Assert(t, lastReceived(si, "m-2").After(stoppedAt), qt.IsFalse)
 			})
 		})
 	}
 }
 
+// TestEntriesStopABadVersionWithoutStewards rolls out a failing version without
+// stewards and with the store down. Entries must stop using it by themselves.
 func TestEntriesStopABadVersionWithoutStewards(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 3, Engines: 3}, func(t *testing.T, si *testsite.Site) {
 		for _, en := range si.Engines {
 			en.Set(standin.Faults{FailModel: "m-2"})
 		}
 		si.Store.Set(standin.Faults{})
-		si.Apply(rolloutAt(0.5))
-		time.Sleep(quietLimit)
+		si.Apply(runningRollout(0.5))
+		time.Sleep(healthyPropagationLimit)
 		si.Store.Set(standin.Faults{Down: true})
-		bad, served := 0, 0
+		exposed, served := 0, 0
 		for i := range 200 {
 			an := si.Chat(testsite.Call{Entry: 1 + i%3})
 			if an.Status == 200 {
 				served++
 			}
 			if an.Header.Get(entry.HeaderVersion) == "m-2" || an.Status == 502 {
-				bad++
+				exposed++
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
-		qt.Assert(t, bad < 15, qt.IsTrue, qt.Commentf("%d answers exposed", bad))
-		// The engines are not blamed for the version: the rest is served.
-		qt.Assert(t, served+bad, qt.Equals, 200)
+		qt.Assert(t, exposed < 15, qt.IsTrue, qt.Commentf("%d of 200 requests were exposed to the bad version", exposed))
+		// The version's failures do not count against the engines, which serve all
+		// other requests.
+		qt.Assert(t, served+exposed, qt.Equals, 200)
 	})
 }
 
-func TestInterruptedRolloutGoesOnUnderAnotherSteward(t *testing.T) {
+// TestAnotherStewardContinuesInterruptedRollout kills the steward that runs a
+// roll-out.
+func TestAnotherStewardContinuesInterruptedRollout(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 2, Stewards: 2, Engines: 3}, func(t *testing.T, si *testsite.Site) {
 		ctx, cancel := context.WithCancel(t.Context())
-		var an answers
+		var br billRecorder
 		var wg sync.WaitGroup
-		load(ctx, si, &an, &wg, 1, 2)
-		si.Apply(rolloutAt(0))
-		si.Eventually(time.Minute, "roll-out has moved", func() bool {
+		generateLoad(ctx, si, &br, &wg, 1, 2)
+		si.Apply(runningRollout(0))
+		si.Eventually(time.Minute, "roll-out has reached a share of 0.1", func() bool {
 			time.Sleep(100 * time.Millisecond)
 			ro, _ := rolloutState(t, si)
 			return ro.Share >= 0.1
 		})
-		holder := holderOf(si, "rollout/r")
+		holder := taskHolder(si, "rollout/r")
 		qt.Assert(t, holder > 0, qt.IsTrue)
 		si.KillSteward(holder)
-		rolloutEnds(t, si, rpc.RolloutState_DONE)
+		waitForRollout(t, si, rpc.RolloutState_DONE)
 		cancel()
 		wg.Wait()
 	})
 }
 
-// holderOf gives the number of the steward that holds a task, 0 for none.
-func holderOf(si *testsite.Site, ta lease.Task) int {
+// taskHolder returns the number of the steward that holds a task, or 0 if none does.
+func taskHolder(si *testsite.Site, ta lease.Task) int {
 	for n := 1; n <= len(si.Stewards)+1; n++ {
 		da, ok := si.Stewards[testsite.StewardName(n)]
 		if !ok {
@@ -158,9 +170,12 @@
 	return 0
 }
 
-func TestPausedStewardChangesNothingAfterItsLease(t *testing.T) {
+// TestPausedStewardIsFencedAfterLeaseExpiry lets a holder apply a change after its
+// lease expired and another one acquired the task. The store must reject the change
+// by its fencing token.
+func TestPausedStewardIsFencedAfterLeaseExpiry(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 1, Engines: 1}, func(t *testing.T, si *testsite.Site) {
-		si.Apply(rolloutAt(0.1))
+		si.Apply(runningRollout(0.1))
 		old := si.Client("old")
 		defer old.Close()
 		ma := lease.NewManager("tanager/", old, "old", 2*time.Second, event.Discard())
@@ -169,7 +184,8 @@
 		qt.Assert(t, ok, qt.IsTrue)
 		ho, ok := ma.Holds("rollout/r")
 		qt.Assert(t, ok, qt.IsTrue)
-		// The holder checked its lease, and is paused past it.
+		// The holder is paused after it checked its lease, until the lease has
+		// expired.
 		time.Sleep(5 * time.Second)
 		_, ok = ma.Holds("rollout/r")
 		qt.Assert(t, ok, qt.IsFalse)
@@ -181,7 +197,7 @@
 		qt.Assert(t, ok, qt.IsTrue)
 		newer, _ := mb.Holds("rollout/r")
 		qt.Assert(t, newer.Token > ho.Token, qt.IsTrue)
-		move := func(host testsite.Host, share float64, fe *configuration.Fence) error {
+		setShare := func(host testsite.Host, share float64, fe *configuration.Fence) error {
 			wr, cl := si.Writer(host)
 			defer cl.Close()
 			se, _, err := wr.Load(t.Context())
@@ -192,8 +208,8 @@
 			_, err = wr.Apply(t.Context(), configuration.Request{Changes: []configuration.Change{{Record: re, Base: base}}, Fence: fe})
 			return err
 		}
-		qt.Assert(t, move("next", 0.2, newer.Fence()), qt.IsNil)
-		qt.Assert(t, errors.Is(move("old", 0.9, ho.Fence()), configuration.ErrFenced), qt.IsTrue)
+		qt.Assert(t, setShare("next", 0.2, newer.Fence()), qt.IsNil)
+		qt.Assert(t, errors.Is(setShare("old", 0.9, ho.Fence()), configuration.ErrFenced), qt.IsTrue)
 		ro, _ := rolloutState(t, si)
 		qt.Assert(t, ro.Share, qt.Equals, 0.2)
 		ma.Close(t.Context())
@@ -201,7 +217,10 @@
 	})
 }
 
-func TestOrdersToEngines(t *testing.T) {
+// TestEngineOrdersCarryIncreasingFencingTokens checks the orders that stewards send to
+// an engine to load and unload a version, with engines that check fencing tokens and
+// with engines that do not.
+func TestEngineOrdersCarryIncreasingFencingTokens(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		t.Run(fmt.Sprintf("checks fencing %t", checks), func(t *testing.T) {
 			engine := standin.EngineOptions{Slots: 8, Prefill: 10 * time.Millisecond, Token: 5 * time.Millisecond, ChecksFencing: checks}
@@ -216,14 +235,15 @@
 				started := time.Now()
 				took := si.Eventually(30*time.Second, "version loaded", func() bool { return len(en.Orders()) > 0 })
 				if !checks {
-					// Not before the time to live of the lease before this one.
+					// An engine that does not check fencing tokens gets no order until
+					// the lease of a previous holder must have expired.
 					qt.Assert(t, took >= time.Second, qt.IsTrue, qt.Commentf("%s", took))
 				}
 				qt.Assert(t, en.Orders()[0].Load, qt.IsTrue)
 				_ = started
-				// The holder is killed and the version withdrawn: the next
-				// holder orders with a higher token.
-				holder := holderOf(si, lease.Task("orders/"+string(testsite.FailureDomain(1))))
+				// The holder is killed and the version withdrawn. The next holder
+				// must order the unloading with a higher token.
+				holder := taskHolder(si, lease.Task("orders/"+string(testsite.FailureDomain(1))))
 				qt.Assert(t, holder > 0, qt.IsTrue)
 				si.KillSteward(holder)
 				si.Apply(testsite.Record("version", "m-2", `{"model":"m","state":"WITHDRAWN","weights":"m-2-weights"}`))
@@ -238,33 +258,39 @@
 	}
 }
 
-// stewardLinks lists a steward's links to the store and to its peers.
+// stewardLinks returns the links between a steward and the store, entry-1 and the
+// stewards, in both directions.
 func stewardLinks(n int) []link {
-	me := testsite.Host(testsite.StewardName(n))
-	out := []link{{me, testsite.StoreAddress}, {me, testsite.PeerAddress(1)}, {testsite.Host(testsite.EntryName(1)), testsite.StewardAddress(n)}}
+	steward := testsite.Host(testsite.StewardName(n))
+	links := []link{{steward, testsite.StoreAddress}, {steward, testsite.PeerAddress(1)}, {testsite.Host(testsite.EntryName(1)), testsite.StewardAddress(n)}}
 	for m := 1; m <= 4; m++ {
-		out = append(out, link{me, testsite.StewardAddress(m)}, link{testsite.Host(testsite.StewardName(m)), testsite.StewardAddress(n)})
+		links = append(links, link{steward, testsite.StewardAddress(m)}, link{testsite.Host(testsite.StewardName(m)), testsite.StewardAddress(n)})
 	}
-	return out
+	return links
 }
 
+// link is a direction of connections, from a host to an address.
 type link struct {
 	from testsite.Host
 	to   string
 }
 
-func cutOff(si *testsite.Site, n int) {
+// disconnectSteward cuts a steward's links to the store, entry-1 and the stewards.
+func disconnectSteward(si *testsite.Site, n int) {
 	for _, li := range stewardLinks(n) {
 		si.Net.Cut(li.from, li.to)
 	}
 }
 
-func mendAll(si *testsite.Site, n int) {
+// reconnectSteward restores the links that disconnectSteward cuts.
+func reconnectSteward(si *testsite.Site, n int) {
 	for _, li := range stewardLinks(n) {
 		si.Net.Mend(li.from, li.to)
 	}
 }
 
+// TestTwoStewardsNeverHoldOneTask samples the held tasks of four stewards while the
+// store loses responses and stewards are disconnected and reconnected.
 func TestTwoStewardsNeverHoldOneTask(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 1, Stewards: 4, Engines: 2}, func(t *testing.T, si *testsite.Site) {
 		for round := range 6 {
@@ -272,10 +298,10 @@
 			case 0:
 				si.Store.Set(standin.Faults{LoseAnswers: 5})
 			case 1:
-				cutOff(si, 1+round%4)
+				disconnectSteward(si, 1+round%4)
 			case 2:
 				for n := 1; n <= 4; n++ {
-					mendAll(si, n)
+					reconnectSteward(si, n)
 				}
 			}
 			for range 100 {
@@ -286,7 +312,7 @@
 						if time.Now().After(ho.ExpiresAt) {
 							continue
 						}
-						qt.Assert(t, held[ho.Task], qt.Equals, "", qt.Commentf("%s is held by %s too", ho.Task, name))
+						qt.Assert(t, held[ho.Task], qt.Equals, "", qt.Commentf("task %s is held by %s as well", ho.Task, name))
 						held[ho.Task] = name
 					}
 				}
--- a/proof/stream_test.go
+++ b/proof/stream_test.go
@@ -14,12 +14,15 @@
 	"tanagerpoint.example/tanager/testsite"
 )
 
-func TestBrokenAndSilentStreamsGoOnWhole(t *testing.T) {
+// TestInterruptedStreamsAreResumed makes the engine break or stall the connection
+// within an answer. The caller must receive the complete answer, and the engine must
+// run the request once.
+func TestInterruptedStreamsAreResumed(t *testing.T) {
 	faults := map[string]func(si *testsite.Site){
 		"engine breaks the connection": func(si *testsite.Site) {
 			si.Engines["engine-1"].Set(standin.Faults{CutAfter: 5, CutStreams: 1})
 		},
-		"engine breaks it twice": func(si *testsite.Site) {
+		"engine breaks the connection twice": func(si *testsite.Site) {
 			si.Engines["engine-1"].Set(standin.Faults{CutAfter: 3, CutStreams: 2})
 		},
 		"engine goes silent": func(si *testsite.Site) {
@@ -29,7 +32,7 @@
 	for name, fault := range faults {
 		for _, stream := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, stream %t", name, stream), func(t *testing.T) {
-				withSite(t, testsite.Options{Entries: 1, Engines: 1, EntrySettings: alone()}, func(t *testing.T, si *testsite.Site) {
+				withSite(t, testsite.Options{Entries: 1, Engines: 1, EntrySettings: singleEntrySettings()}, func(t *testing.T, si *testsite.Site) {
 					fault(si)
 					an := si.Chat(testsite.Call{Tokens: 20, Stream: stream})
 					qt.Assert(t, an.Whole, qt.IsTrue, qt.Commentf("%s", an.Body))
@@ -42,12 +45,14 @@
 	}
 }
 
-// alone gives settings for a site of one entry, which has no peer to hold
-// copies of its bills.
-func alone() map[string]string { return map[string]string{"billing": "copies = 0"} }
+// singleEntrySettings returns the settings for a site of one entry, which has no
+// peer to hold copies of its bills.
+func singleEntrySettings() map[string]string { return map[string]string{"billing": "copies = 0"} }
 
-func TestConnectionSilentInMidStreamGoesOnWhole(t *testing.T) {
-	withSite(t, testsite.Options{Entries: 1, Engines: 1, EntrySettings: alone()}, func(t *testing.T, si *testsite.Site) {
+// TestStreamIsResumedAfterConnectionStalls silences the connections to the engine
+// twice within one answer, without closing them.
+func TestStreamIsResumedAfterConnectionStalls(t *testing.T) {
+	withSite(t, testsite.Options{Entries: 1, Engines: 1, EntrySettings: singleEntrySettings()}, func(t *testing.T, si *testsite.Site) {
 		an := si.Chat(testsite.Call{Tokens: 60, Stream: true, OnChunk: func(n int) {
 			if n == 10 || n == 30 {
 				si.Net.Silence(testsite.Host(testsite.EntryName(1)), testsite.EngineAddress(1))
@@ -58,21 +63,26 @@
 	})
 }
 
-func TestCrossedAnswersAreDropped(t *testing.T) {
-	withSite(t, testsite.Options{Entries: 1, Engines: 2, EntrySettings: alone()}, func(t *testing.T, si *testsite.Site) {
+// TestAnswersToOtherRequestsAreDropped lets engines answer with another request's ID.
+// No such answer may reach a caller.
+func TestAnswersToOtherRequestsAreDropped(t *testing.T) {
+	withSite(t, testsite.Options{Entries: 1, Engines: 2, EntrySettings: singleEntrySettings()}, func(t *testing.T, si *testsite.Site) {
 		for _, en := range si.Engines {
 			en.Set(standin.Faults{CrossAnswers: 1})
 		}
 		for range 4 {
 			an := si.Chat(testsite.Call{Tokens: 5, Stream: true, Prompt: fmt.Sprint(time.Now())})
 			qt.Assert(t, an.Text == "" || an.Text == testsite.WholeText("m-1", 5), qt.IsTrue)
-			qt.Assert(t, an.Text != "" || !an.Whole, qt.IsTrue, qt.Commentf("an empty answer passed as whole: %s", an.Body))
+			qt.Assert(t, an.Text != "" || !an.Whole, qt.IsTrue, qt.Commentf("empty answer forwarded as complete: %s", an.Body))
 		}
 		qt.Assert(t, si.State(1).AnswersDropped > 0, qt.IsTrue)
 	})
 }
 
-func TestAnswersBelongToTheirRequests(t *testing.T) {
+// TestAnswersMatchTheirRequests sends requests for different models and lengths at
+// once, while engines cut streams and connections go silent. Every complete answer must
+// be that of its own request.
+func TestAnswersMatchTheirRequests(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 3, Engines: 3}, func(t *testing.T, si *testsite.Site) {
 		ctx, cancel := context.WithTimeout(t.Context(), 4*time.Second)
 		defer cancel()
@@ -102,7 +112,9 @@
 	})
 }
 
-func TestSilentLinksDoNotStopService(t *testing.T) {
+// TestSilentConnectionsDoNotStopService silences all open connections of all entries at
+// once. Requests must be served and changes applied on new connections.
+func TestSilentConnectionsDoNotStopService(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 3, Engines: 2, Plains: 1}, func(t *testing.T, si *testsite.Site) {
 		silenceAll := func() {
 			for n := 1; n <= 3; n++ {
@@ -124,34 +136,35 @@
 				an := si.Chat(testsite.Call{Entry: n})
 				qt.Assert(t, an.Status, qt.Equals, 200, qt.Commentf("round %d entry %d: %s", round, n, an.Body))
 			}
-			revision := si.Apply(describe(round))
-			si.Eventually(inForceLimit, "change in force", inForce(si, revision, 1, 2, 3))
+			revision := si.Apply(modelRecord(round))
+			si.Eventually(propagationLimit, "change applied", hasRevision(si, revision, 1, 2, 3))
 		}
 	})
 }
 
-func TestGracefulShutdownCutsOffNothing(t *testing.T) {
+// TestGracefulShutdownTruncatesNoAnswers drains and closes an entry under load while
+// callers still use its address for up to two seconds.
+func TestGracefulShutdownTruncatesNoAnswers(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 3, Engines: 3, Plains: 1}, func(t *testing.T, si *testsite.Site) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var wg sync.WaitGroup
 		var mu sync.Mutex
-		var got answers
-		sent, cutOff := 0, 0
+		var got billRecorder
+		sent, truncated := 0, 0
 		for caller := range 12 {
 			wg.Go(func() {
 				for ctx.Err() == nil {
-					// Callers ask for addresses and keep the answer for as long
-					// as it says.
+					// Callers ask for the addresses and use them for two seconds.
 					ads := si.Addresses(2 + caller%2)
-					until := time.Now().Add(2 * time.Second)
-					for len(ads) > 0 && time.Now().Before(until) && ctx.Err() == nil {
-						an := si.Chat(testsite.Call{Entry: entryOf(ads[0]), Stream: caller%2 == 0, Tokens: 40})
-						got.add(an)
+					expiresAt := time.Now().Add(2 * time.Second)
+					for len(ads) > 0 && time.Now().Before(expiresAt) && ctx.Err() == nil {
+						an := si.Chat(testsite.Call{Entry: entryNumber(ads[0]), Stream: caller%2 == 0, Tokens: 40})
+						got.record(an)
 						mu.Lock()
 						sent++
 						if !an.Whole {
-							cutOff++
-							t.Logf("cut off: %v %d %s", an.Err, an.Status, an.Body)
+							truncated++
+							t.Logf("answer truncated: error %v, status %d, body %s", an.Err, an.Status, an.Body)
 						}
 						mu.Unlock()
 					}
@@ -173,12 +186,14 @@
 		wg.Wait()
 		time.Sleep(3 * time.Second)
 		qt.Assert(t, sent > 100, qt.IsTrue)
-		qt.Assert(t, cutOff, qt.Equals, 0)
-		qt.Assert(t, len(billed(t, si)), qt.Equals, len(got.bills))
+		qt.Assert(t, truncated, qt.Equals, 0)
+		qt.Assert(t, len(storedBillIDs(t, si)), qt.Equals, len(got.billIDs))
 	})
 }
 
-func entryOf(address string) int {
+// entryNumber returns the number of the entry with a caller address, or 0 if none
+// has it.
+func entryNumber(address string) int {
 	for n := 1; n <= 9; n++ {
 		if testsite.EntryAddress(n) == address {
 			return n
@@ -187,13 +202,15 @@
 	return 0
 }
 
-func TestFailedEntryLeavesTheAddressAnswers(t *testing.T) {
+// TestFailedEntriesAreRemovedFromAddresses kills half of the entries. The others must
+// stop listing them within three seconds, and list them again after their restart.
+func TestFailedEntriesAreRemovedFromAddresses(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 8, Engines: 1}, func(t *testing.T, si *testsite.Site) {
 		qt.Assert(t, si.Addresses(1), qt.HasLen, 8)
 		for n := 5; n <= 8; n++ {
 			si.KillEntry(n)
 		}
-		took := si.Eventually(3*time.Second, "dead entries left out everywhere", func() bool {
+		took := si.Eventually(3*time.Second, "killed entries removed from all address lists", func() bool {
 			for n := 1; n <= 4; n++ {
 				if len(si.Addresses(n)) != 4 {
 					return false
@@ -201,17 +218,17 @@
 			}
 			return true
 		})
-		t.Logf("left out after %s", took)
+		t.Logf("removed after %s", took)
 		for n := 5; n <= 8; n++ {
 			si.StartEntry(n)
 		}
-		si.Eventually(3*time.Second, "new entries in the answers", func() bool { return len(si.Addresses(1)) == 8 })
+		si.Eventually(3*time.Second, "restarted entries listed again", func() bool { return len(si.Addresses(1)) == 8 })
 	})
 }
 
-// TestHealthyEntriesStayInTheAnswers looks for entries that are taken for
-// failed, at the size of a site.
-func TestHealthyEntriesStayInTheAnswers(t *testing.T) {
+// TestHealthyEntriesStayInAddresses checks at the size of a production site that
+// no entry is taken for failed without a fault.
+func TestHealthyEntriesStayInAddresses(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 8, Stewards: 8, Engines: 1}, func(t *testing.T, si *testsite.Site) {
 		for range 300 {
 			for n := 1; n <= 8; n++ {
@@ -222,23 +239,25 @@
 	})
 }
 
-func TestAllEntriesReplacedUnderTrafficLosesAndDoublesNothing(t *testing.T) {
+// TestReplacingAllEntriesUnderLoadKeepsBillsAndCalls kills and restarts the entries one
+// after the other. No bill may be lost or stored twice, and no call may run twice.
+func TestReplacingAllEntriesUnderLoadKeepsBillsAndCalls(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 8, Engines: 3, Plains: 2}, func(t *testing.T, si *testsite.Site) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var wg sync.WaitGroup
-		var got answers
+		var got billRecorder
 		for caller := range 8 {
 			wg.Go(func() {
 				for i := 0; ctx.Err() == nil; i++ {
 					n := 1 + (caller+i)%8
-					got.add(si.Chat(testsite.Call{Entry: n, Stream: i%2 == 0}))
+					got.record(si.Chat(testsite.Call{Entry: n, Stream: i%2 == 0}))
 					key := fmt.Sprintf("%d-%d", caller, i)
 					an := si.Desk(testsite.Call{Entry: n}, "POST", key, "{}")
 					if an.Err == nil && an.Ran() == entry.NotRun {
 						qt.Check(t, timesRun(si, key), qt.Equals, 0)
 					}
 					if an.Err == nil && an.Ran() == entry.HasRun && an.Status == 200 {
-						got.add(an)
+						got.record(an)
 					}
 					time.Sleep(50 * time.Millisecond)
 				}
@@ -253,15 +272,15 @@
 		cancel()
 		wg.Wait()
 		time.Sleep(15 * time.Second)
-		stored := billed(t, si)
-		for _, id := range got.bills {
-			qt.Assert(t, stored[id], qt.IsTrue, qt.Commentf("bill %s is missing", id))
+		stored := storedBillIDs(t, si)
+		for _, id := range got.billIDs {
+			qt.Assert(t, stored[id], qt.IsTrue, qt.Commentf("bill %s of a complete answer is missing", id))
 		}
 		for _, pl := range si.Plains {
 			for key, n := range pl.Ran() {
-				qt.Assert(t, n, qt.Equals, 1, qt.Commentf("%s", key))
+				qt.Assert(t, n, qt.Equals, 1, qt.Commentf("call %s ran more than once", key))
 			}
 		}
-		t.Logf("%d whole answers, %d bills", len(got.bills), len(stored))
+		t.Logf("%d complete answers, %d bills", len(got.billIDs), len(stored))
 	})
 }
--- a/proof/version_test.go
+++ b/proof/version_test.go
@@ -14,8 +14,9 @@
 	"tanagerpoint.example/tanager/testsite"
 )
 
-// lastRun gives when an engine last received work on a model.
-func lastRun(si *testsite.Site, model string) time.Time {
+// lastReceived returns when an engine last received a request for a model, or the
+// zero time.
+func lastReceived(si *testsite.Site, model string) time.Time {
 	var last time.Time
 	for _, en := range si.Engines {
 		for _, ra := range en.Ran() {
@@ -27,7 +28,9 @@
 	return last
 }
 
-func TestOrganisationRunsOnlyOnWhatItMayUse(t *testing.T) {
+// TestOrganisationUsesOnlyAllowedModels asks for models, cascades, ranks and services
+// that an organisation may not use.
+func TestOrganisationUsesOnlyAllowedModels(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 2, Engines: 1}, func(t *testing.T, si *testsite.Site) {
 		for _, model := range []string{"large", "large-1", "auto", "nothing"} {
 			an := si.Chat(testsite.Call{Key: testsite.OtherKey, Model: model})
@@ -43,10 +46,10 @@
 		list := si.Get(testsite.Call{Key: testsite.OtherKey}, "/v1/models").Body
 		qt.Assert(t, list, qt.Contains, `"m-1"`)
 		qt.Assert(t, list, qt.Not(qt.Contains), "large")
-		// A cascade gives only models that the organisation may use.
+		// A cascade uses only those of its models that the organisation may use.
 		si.Apply(testsite.Record("organisation", "verse", fmt.Sprintf(
-			`{"key_hashes":[%q],"allowed_models":["auto","m"],"allowed_ranks":["standard"]}`, hashOf(testsite.OtherKey))))
-		time.Sleep(quietLimit)
+			`{"key_hashes":[%q],"allowed_models":["auto","m"],"allowed_ranks":["standard"]}`, hashKey(testsite.OtherKey))))
+		time.Sleep(healthyPropagationLimit)
 		for range 40 {
 			an := si.Chat(testsite.Call{Key: testsite.OtherKey, Model: "auto"})
 			qt.Assert(t, an.Header.Get(entry.HeaderVersion), qt.Equals, "m-1")
@@ -54,11 +57,12 @@
 	})
 }
 
-// TestWithdrawnWhileQueuedRunsElsewhere holds requests in the queue, withdraws
-// their version, and then lets them go.
-func TestWithdrawnWhileQueuedRunsElsewhere(t *testing.T) {
-	slow := standin.EngineOptions{Slots: 8, Prefill: 20 * time.Millisecond, Token: 20 * time.Millisecond, CachedPrefixes: 4}
-	withSite(t, testsite.Options{Entries: 2, Engines: 1, Engine: slow}, func(t *testing.T, si *testsite.Site) {
+// TestRequestsQueuedForWithdrawnVersionRunOnAnother fills the queue of a slow engine
+// and withdraws the version that the requests are queued for. No request may be sent
+// to it after all entries have the change.
+func TestRequestsQueuedForWithdrawnVersionRunOnAnother(t *testing.T) {
+	slowEngine := standin.EngineOptions{Slots: 8, Prefill: 20 * time.Millisecond, Token: 20 * time.Millisecond, CachedPrefixes: 4}
+	withSite(t, testsite.Options{Entries: 2, Engines: 1, Engine: slowEngine}, func(t *testing.T, si *testsite.Site) {
 		var wg sync.WaitGroup
 		var mu sync.Mutex
 		versions := map[string]int{}
@@ -73,18 +77,20 @@
 		}
 		time.Sleep(300 * time.Millisecond)
 		revision := si.Apply(testsite.Record("version", "m-1", `{"model":"m","state":"WITHDRAWN"}`), testsite.Record("model", "m", `{"stable_version":"m-2"}`))
-		si.Eventually(quietLimit, "withdrawal in force", inForce(si, revision, 1, 2))
-		atAll := time.Now()
+		si.Eventually(healthyPropagationLimit, "withdrawal applied", hasRevision(si, revision, 1, 2))
+		withdrawnAt := time.Now()
 		wg.Wait()
 		qt.Assert(t, versions["m-2"] > 10, qt.IsTrue, qt.Commentf("%v", versions))
-		qt.Assert(t, lastRun(si, "m-1").After(atAll), qt.IsFalse)
+		qt.Assert(t, lastReceived(si, "m-1").After(withdrawnAt), qt.IsFalse)
 	})
 }
 
+// TestWithdrawnVersionGetsNoRetries withdraws a version between the attempts of a
+// request that names it.
 func TestWithdrawnVersionGetsNoRetries(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 1, Engines: 3, EntrySettings: map[string]string{"serving": "progress = 1s"}}, func(t *testing.T, si *testsite.Site) {
-		// The first attempts stay without an answer; the version is withdrawn
-		// before their retries.
+		// The first attempts get no answer. The version is withdrawn before the
+		// entry retries them.
 		for _, en := range si.Engines {
 			en.Set(standin.Faults{Freeze: true})
 		}
@@ -100,21 +106,24 @@
 			en.Set(standin.Faults{})
 		}
 		wg.Wait()
-		qt.Assert(t, lastRun(si, "m-1").IsZero(), qt.IsTrue)
+		qt.Assert(t, lastReceived(si, "m-1").IsZero(), qt.IsTrue)
 	})
 }
 
-// rolloutAt gives the record of a running roll-out from m-1 to m-2 at a share.
-func rolloutAt(share float64) string {
+// runningRollout returns the record of a roll-out from m-1 to m-2 that is running
+// with a share of the requests on m-2, between 0 and 1.
+func runningRollout(share float64) string {
 	return testsite.Record("rollout", "r", fmt.Sprintf(
 		`{"model":"m","from_version":"m-1","to_version":"m-2","share":%g,"state":"RUNNING","steps":[0.1,0.5,1],"answers_per_step":40}`, share))
 }
 
+// TestSessionKeepsItsVersion follows sessions by their IDs and by their tokens while
+// the share of a roll-out changes and each entry is killed and restarted.
 func TestSessionKeepsItsVersion(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 6, Engines: 2}, func(t *testing.T, si *testsite.Site) {
 		const sessions = 40
 		version, token := map[int]string{}, map[int]string{}
-		ask := func(round int) {
+		sendRequests := func(round int) {
 			for se := range sessions {
 				header := map[string]string{entry.HeaderSessionID: fmt.Sprintf("session-%d", se)}
 				if se%2 == 1 && token[se] != "" {
@@ -131,16 +140,16 @@
 			}
 		}
 		for round, share := range []float64{0.5, 1, 0.1, 0.9, 0.3, 0.6} {
-			si.Apply(rolloutAt(share))
-			time.Sleep(quietLimit)
-			ask(round)
-			// Every entry is replaced in turn.
+			si.Apply(runningRollout(share))
+			time.Sleep(healthyPropagationLimit)
+			sendRequests(round)
+			// Every entry is killed and restarted in turn.
 			si.KillEntry(1 + round)
 			time.Sleep(3 * time.Second)
 			si.StartEntry(1 + round)
 			time.Sleep(4 * time.Second)
 		}
-		ask(6)
+		sendRequests(6)
 		count := map[string]int{}
 		for _, ve := range version {
 			count[ve]++
@@ -149,37 +158,40 @@
 	})
 }
 
-// TestSessionsOutliveAFailureDomain kills all entries of one failure domain at
-// once: sessions by id keep their versions at entries that never saw them.
-func TestSessionsOutliveAFailureDomain(t *testing.T) {
+// TestSessionsSurviveFailureDomainLoss kills all entries of one failure domain
+// at once. Sessions identified by their ID must keep their versions at entries that
+// have not served them before.
+func TestSessionsSurviveFailureDomainLoss(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 8, Engines: 2}, func(t *testing.T, si *testsite.Site) {
-		si.Apply(rolloutAt(0.5))
-		time.Sleep(quietLimit)
-		lost, kept := []int{3, 6}, []int{1, 2, 4, 5, 7, 8}
+		si.Apply(runningRollout(0.5))
+		time.Sleep(healthyPropagationLimit)
+		killed, surviving := []int{3, 6}, []int{1, 2, 4, 5, 7, 8}
 		const sessions = 60
-		ask := func(se, n int) string {
+		sendRequest := func(se, n int) string {
 			an := si.Chat(testsite.Call{Entry: n, Header: map[string]string{entry.HeaderSessionID: fmt.Sprint("s-", se)}})
 			qt.Assert(t, an.Status, qt.Equals, 200, qt.Commentf("%s", an.Body))
 			return an.Header.Get(entry.HeaderVersion)
 		}
 		version := map[int]string{}
 		for se := range sessions {
-			version[se] = ask(se, lost[se%2])
+			version[se] = sendRequest(se, killed[se%2])
 		}
-		for _, n := range lost {
+		for _, n := range killed {
 			si.KillEntry(n)
 		}
 		time.Sleep(3 * time.Second)
 		for se := range sessions {
-			qt.Assert(t, ask(se, kept[se%6]), qt.Equals, version[se], qt.Commentf("session %d", se))
+			qt.Assert(t, sendRequest(se, surviving[se%6]), qt.Equals, version[se], qt.Commentf("session %d", se))
 		}
 	})
 }
 
-func TestSessionStartedAtTwoEntriesAtOnceHasOneVersion(t *testing.T) {
+// TestSessionStartedConcurrentlyHasOneVersion sends the first requests of a session to
+// four entries at once. All of them must use the same version.
+func TestSessionStartedConcurrentlyHasOneVersion(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 4, Engines: 2}, func(t *testing.T, si *testsite.Site) {
-		si.Apply(rolloutAt(0.5))
-		time.Sleep(quietLimit)
+		si.Apply(runningRollout(0.5))
+		time.Sleep(healthyPropagationLimit)
 		for se := range 30 {
 			got := make([]string, 4)
 			var wg sync.WaitGroup
@@ -197,13 +209,16 @@
 	})
 }
 
-func TestSessionOnAWithdrawnVersionIsMovedAndTold(t *testing.T) {
+// TestSessionOnWithdrawnVersionIsMovedAndReported checks that a session moves to the
+// stable version when its own is withdrawn, that the answer says so once, that a strict
+// session is refused instead, and that a forged token is rejected.
+func TestSessionOnWithdrawnVersionIsMovedAndReported(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 2, Engines: 1}, func(t *testing.T, si *testsite.Site) {
 		byID := map[string]string{entry.HeaderSessionID: "s"}
 		first := si.Chat(testsite.Call{Header: byID})
 		byToken := map[string]string{entry.HeaderSession: first.Header.Get(entry.HeaderSession)}
 		si.Apply(testsite.Record("version", "m-1", `{"model":"m","state":"WITHDRAWN"}`), testsite.Record("model", "m", `{"stable_version":"m-2"}`))
-		time.Sleep(quietLimit)
+		time.Sleep(healthyPropagationLimit)
 		for _, header := range []map[string]string{byID, byToken} {
 			an := si.Chat(testsite.Call{Entry: 2, Header: header})
 			qt.Assert(t, an.Header.Get(entry.HeaderVersion), qt.Equals, "m-2")
@@ -220,20 +235,22 @@
 	})
 }
 
-func TestLeavingEndpointGetsNoNewWork(t *testing.T) {
-	ways := map[string]func(si *testsite.Site){
+// TestLeavingEndpointGetsNoNewRequests checks that an endpoint that is drained, or whose
+// VM is leaving, receives its last request within three seconds of that.
+func TestLeavingEndpointGetsNoNewRequests(t *testing.T) {
+	causes := map[string]func(si *testsite.Site){
 		"operator drains it": func(si *testsite.Site) { si.Apply(testsite.EngineRecord(1, `,"draining":true`)) },
-		"VM list says that it leaves": func(si *testsite.Site) {
+		"VM list marks it as leaving": func(si *testsite.Site) {
 			si.VMs.Put(leavingVM("engine-1", testsite.EngineAddress(1)))
 		},
 	}
-	for name, leave := range ways {
+	for name, leave := range causes {
 		t.Run(name, func(t *testing.T) {
 			withSite(t, testsite.Options{Entries: 3, Engines: 3, VMLag: time.Second}, func(t *testing.T, si *testsite.Site) {
 				ctx, cancel := context.WithCancel(t.Context())
-				var an answers
+				var br billRecorder
 				var wg sync.WaitGroup
-				load(ctx, si, &an, &wg, 1, 2, 3)
+				generateLoad(ctx, si, &br, &wg, 1, 2, 3)
 				time.Sleep(time.Second)
 				leave(si)
 				leftAt := time.Now()
@@ -246,7 +263,7 @@
 						last = ra.ReceivedAt
 					}
 				}
-				t.Logf("last new work %s after", last.Sub(leftAt))
+				t.Logf("last request received %s after the start of leaving", last.Sub(leftAt))
 				qt.Assert(t, last.Sub(leftAt) <= 3*time.Second, qt.IsTrue)
 				qt.Assert(t, last.IsZero(), qt.IsFalse)
 			})
