--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -12,21 +12,23 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// proxy passes connections on to an address over the loopback interface, and
-// harms them on order.
+// proxy forwards connections to an address over the loopback interface. Tests
+// make it reset, silence, refuse or delay them.
 type proxy struct {
 	to       string
 	listener net.Listener
 
 	mu    sync.Mutex
 	conns map[net.Conn]bool
-	// silent holds the connections that carry nothing more, refused tells that
-	// new ones are reset, delay is added to what is carried.
-	silent  map[net.Conn]bool
-	refused bool
-	delay   time.Duration
+	// silent holds the connections from which nothing is forwarded any more.
+	silent map[net.Conn]bool
+	// refuse tells whether new connections are closed at once.
+	refuse bool
+	// delay is added before each write.
+	delay time.Duration
 }
 
+// newProxy starts a proxy to an address. It ends with the test.
 func newProxy(t *testing.T, to string) *proxy {
 	li, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
@@ -41,33 +43,36 @@
 
 func (px *proxy) address() string { return px.listener.Addr().String() }
 
+// accept opens a connection to the target for each one that it accepts, until the
+// listener is closed.
 func (px *proxy) accept() {
 	for {
-		near, err := px.listener.Accept()
+		client, err := px.listener.Accept()
 		if err != nil {
 			return
 		}
 		px.mu.Lock()
-		refused := px.refused
+		refuse := px.refuse
 		px.mu.Unlock()
-		far, err := net.DialTimeout("tcp", px.to, time.Second)
-		if refused || err != nil {
-			_ = near.Close()
-			if far != nil {
-				_ = far.Close()
+		server, err := net.DialTimeout("tcp", px.to, time.Second)
+		if refuse || err != nil {
+			_ = client.Close()
+			if server != nil {
+				_ = server.Close()
 			}
 			continue
 		}
 		px.mu.Lock()
-		px.conns[near], px.conns[far] = true, true
+		px.conns[client], px.conns[server] = true, true
 		px.mu.Unlock()
-		go px.carry(near, far)
-		go px.carry(far, near)
+		go px.forward(client, server)
+		go px.forward(server, client)
 	}
 }
 
-// carry copies one way; a silent connection swallows what comes.
-func (px *proxy) carry(from, to net.Conn) {
+// forward copies one direction of a connection until it ends. What a silent
+// connection sends is discarded.
+func (px *proxy) forward(from, to net.Conn) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
@@ -92,7 +97,7 @@
 	px.mu.Unlock()
 }
 
-// each visits the open connections.
+// each calls fn for each open connection, with the lock held.
 func (px *proxy) each(fn func(co net.Conn)) {
 	px.mu.Lock()
 	defer px.mu.Unlock()
@@ -101,6 +106,7 @@
 	}
 }
 
+// reset closes the open connections with a TCP reset.
 func (px *proxy) reset() {
 	px.each(func(co net.Conn) {
 		if tc, ok := co.(*net.TCPConn); ok {
@@ -110,19 +116,22 @@
 	})
 }
 
-// silence makes the open connections carry nothing more, one way or both.
+// silence stops forwarding on the open connections without closing them. With
+// oneWay it marks every second end that it visits, in the random order of a map, so
+// that some connections still carry data in one direction.
 func (px *proxy) silence(oneWay bool) {
-	other := false
+	mark := false
 	px.each(func(co net.Conn) {
-		other = !other
-		if other || !oneWay {
+		mark = !mark
+		if mark || !oneWay {
 			px.silent[co] = true
 		}
 	})
 }
 
-func (px *proxy) set(refused bool, delay time.Duration) {
+// set sets whether new connections are refused, and the delay of all.
+func (px *proxy) set(refuse bool, delay time.Duration) {
 	px.mu.Lock()
 	defer px.mu.Unlock()
-	px.refused, px.delay = refused, delay
+	px.refuse, px.delay = refuse, delay
 }
--- a/soak/router_test.go
+++ b/soak/router_test.go
@@ -29,12 +29,12 @@
 	soakEvents   = 12
 	firstPort    = 9100
 	routeHost    = "soak.example"
-	// revokedAfter is how long a key that was taken away may still work.
-	revokedAfter = 6 * time.Second
+	// revocationLimit is how long a revoked key may still be accepted.
+	revocationLimit = 6 * time.Second
 )
 
-// routerSite is routers as processes, before stand-ins of the users' platform
-// in this one, with proxies between.
+// routerSite runs routers as processes of their own. The stand-ins for the users'
+// platform run in the test's process, behind proxies.
 type routerSite struct {
 	t        *testing.T
 	dir      string
@@ -43,28 +43,32 @@
 	replicas map[string]*standin.Replica
 	routers  []*process
 	proxies  []*proxy
-	frozen   sync.WaitGroup
+	// actions counts the restarts and pauses of routers that are under way.
+	actions sync.WaitGroup
 
-	mu       sync.Mutex
-	version  int
-	requests int
-	whole    int
-	faults   map[string]int
-	breaches []string
-	// unsafe requests by how they ended, to be held against what ran.
+	mu         sync.Mutex
+	version    int
+	requests   int
+	complete   int
+	faults     map[string]int
+	violations []string
+	// unsafe holds the IDs of all unsafe requests, refused those that were refused
+	// as not run. Both are compared with what the replicas ran.
 	refused []string
 	unsafe  []string
-	// draining holds the routers told to end gracefully, with when.
-	draining map[int]time.Time
+	// restarting holds the routers that are being restarted, with the time at which
+	// the restart was last asked for.
+	restarting map[int]time.Time
 }
 
-// TestRouterSoak runs routers under faults from outside: signals, proxies that
-// reset, silence and delay, a store that is down or loses answers, replicas
-// that fail in every way; changes come all the while.
+// TestRouterSoak runs routers under signals, faults of connections, a store that is
+// down or loses responses, and failing replicas, while the configuration changes. It
+// checks each answer, and afterwards that the replicas ran unsafe requests at most
+// once and refused ones never.
 func TestRouterSoak(t *testing.T) {
 	rs := &routerSite{
 		t: t, dir: t.TempDir(), rng: rand.New(rand.NewPCG(*seed, 1)), store: standin.NewStore(),
-		replicas: map[string]*standin.Replica{}, faults: map[string]int{}, draining: map[int]time.Time{},
+		replicas: map[string]*standin.Replica{}, faults: map[string]int{}, restarting: map[int]time.Time{},
 	}
 	out, err := exec.Command("go", "build", "-o", rs.dir+"/", "../cmd/tanager-router").CombinedOutput()
 	qt.Assert(t, err, qt.IsNil, qt.Commentf("%s", out))
@@ -72,27 +76,27 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	for n := range soakCallers {
-		wg.Go(func() { rs.caller(ctx, n) })
+		wg.Go(func() { rs.runCaller(ctx, n) })
 	}
 	for end := time.Now().Add(*length); time.Now().Before(end); {
-		rs.fault()
+		rs.injectFault()
 		time.Sleep(time.Duration(200+rs.rng.IntN(1500)) * time.Millisecond)
 	}
-	rs.calm()
+	rs.endFaults()
 	rs.mu.Lock()
-	served := rs.whole
+	before := rs.complete
 	rs.mu.Unlock()
 	time.Sleep(5 * time.Second)
 	rs.mu.Lock()
-	rs.check(rs.whole > served+20, "after the faults only %d answers in 5 s", rs.whole-served)
+	rs.check(rs.complete > before+20, "got %d complete answers in 5 s after the faults, want more than 20", rs.complete-before)
 	rs.mu.Unlock()
-	rs.revokeCalmly()
+	rs.checkRevocation()
 	cancel()
 	wg.Wait()
-	rs.judge()
+	rs.verify()
 }
 
-// serve serves a stand-in, behind a proxy, and gives the proxy's address.
+// serve starts a stand-in behind a proxy and returns the proxy's address.
 func (rs *routerSite) serve(ha http.Handler) string {
 	li, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(rs.t, err, qt.IsNil)
@@ -104,6 +108,7 @@
 	return px.address()
 }
 
+// start starts the stand-ins and the routers, and gives the routers two seconds.
 func (rs *routerSite) start() {
 	kv := rs.serve(rs.store.KVHandler())
 	for n := range soakReplicas {
@@ -131,6 +136,7 @@
 	time.Sleep(2 * time.Second)
 }
 
+// replica starts replica n of a service and registers it in the store.
 func (rs *routerSite) replica(service string, n int, opt standin.ReplicaOptions) {
 	opt.ID = fmt.Sprintf("i-%s-%d", service, n)
 	re := standin.NewReplica(opt)
@@ -142,8 +148,8 @@
 	rs.store.Write("servers/"+opt.ID, fmt.Appendf(nil, `{"service":%q,"address":%q,"zone":"fd-%d","version":"v1","slots":16,"state":"ready"%s}`, service, rs.serve(re.Handler()), n%3, models))
 }
 
-// configure writes a configuration in which one key is valid, besides the
-// callers' own.
+// configure writes a configuration in which the callers' key and one other key are
+// valid.
 func (rs *routerSite) configure(key string) {
 	rs.mu.Lock()
 	rs.version++
@@ -158,8 +164,9 @@
 		route("r-u", "/u/", "unsafe", "desk", ""), route("r-p", "/p/", "safe", "desk", ""), key))
 }
 
-// fault brings one fault or change about; most end by themselves or at the next.
-func (rs *routerSite) fault() {
+// injectFault injects a random fault or makes a change. Restarts and pauses end by
+// themselves, other faults when a later call clears them.
+func (rs *routerSite) injectFault() {
 	n := rs.rng.IntN(soakRouters)
 	px := rs.proxies[rs.rng.IntN(len(rs.proxies))]
 	faults := []struct {
@@ -169,20 +176,20 @@
 		{"kill", func() { rs.restart(n, syscall.SIGKILL) }},
 		{"terminate", func() { rs.restart(n, syscall.SIGTERM) }},
 		{"pause", func() { rs.pause(n, time.Duration(500+rs.rng.IntN(5000))*time.Millisecond) }},
-		{"hang up", func() { rs.routers[n].signal(syscall.SIGHUP) }},
+		{"hangup signal", func() { rs.routers[n].signal(syscall.SIGHUP) }},
 		{"reset", px.reset},
 		{"silence", func() { px.silence(false) }},
 		{"silence one way", func() { px.silence(true) }},
 		{"refuse", func() { px.set(true, 0) }},
 		{"delay", func() { px.set(false, 100*time.Millisecond) }},
-		{"mend link", func() { px.set(false, 0) }},
+		{"restore link", func() { px.set(false, 0) }},
 		{"store down", func() { rs.store.Set(standin.Faults{Down: true}) }},
 		{"store frozen", func() { rs.store.Set(standin.Faults{Freeze: true}) }},
-		{"store loses", func() { rs.store.Set(standin.Faults{LoseAnswers: 3}) }},
-		{"store well", func() { rs.store.Set(standin.Faults{}) }},
-		{"store forgets", rs.store.Compact},
-		{"replica", rs.replicaFault},
-		{"replica", rs.replicaFault},
+		{"store loses responses", func() { rs.store.Set(standin.Faults{LoseAnswers: 3}) }},
+		{"store recovered", func() { rs.store.Set(standin.Faults{}) }},
+		{"store compacted", rs.store.Compact},
+		{"replicas", rs.setReplicaFaults},
+		{"replicas", rs.setReplicaFaults},
 		{"revoke", rs.revoke},
 	}
 	fa := faults[rs.rng.IntN(len(faults))]
@@ -192,7 +199,8 @@
 	fa.run()
 }
 
-func (rs *routerSite) replicaFault() {
+// setReplicaFaults sets a random fault, or none, for about a third of the replicas.
+func (rs *routerSite) setReplicaFaults() {
 	kinds := []standin.ReplicaFaults{{}, {}, {Status: 500}, {NotRun: true}, {CutAfter: 3}, {Silent: true}, {Crossed: "other"}, {Torn: true}}
 	for _, re := range rs.replicas {
 		if rs.rng.IntN(3) == 0 {
@@ -201,56 +209,61 @@
 	}
 }
 
+// restart ends a router by a signal and starts it again, without waiting for that. It
+// does nothing if the router is being restarted already.
 func (rs *routerSite) restart(n int, sg syscall.Signal) {
 	rs.mu.Lock()
-	_, busy := rs.draining[n]
-	rs.draining[n] = time.Now()
+	_, busy := rs.restarting[n]
+	rs.restarting[n] = time.Now()
 	rs.mu.Unlock()
 	if busy {
 		return
 	}
 	pr := rs.routers[n]
-	rs.frozen.Go(func() {
+	rs.actions.Go(func() {
 		pr.signal(sg)
 		_ = pr.cmd.Wait()
 		pr.start(rs.t, rs.dir)
 		time.Sleep(time.Second)
 		rs.mu.Lock()
-		delete(rs.draining, n)
+		delete(rs.restarting, n)
 		rs.mu.Unlock()
 	})
 }
 
+// pause stops a router by a signal and lets it continue after du, without waiting for
+// that.
 func (rs *routerSite) pause(n int, du time.Duration) {
-	rs.frozen.Go(func() {
+	rs.actions.Go(func() {
 		rs.routers[n].signal(syscall.SIGSTOP)
 		time.Sleep(du)
 		rs.routers[n].signal(syscall.SIGCONT)
 	})
 }
 
-// revoke gives a key and takes it away again.
+// revoke adds a key and removes it at once.
 func (rs *routerSite) revoke() {
-	rs.configure("key-of-a-moment")
-	rs.configure("key-of-nobody")
+	rs.configure("temporary-key")
+	rs.configure("unused-key")
 }
 
-// revokeCalmly takes a key away with no fault in force, and checks that no
-// router takes it any more after a while.
-func (rs *routerSite) revokeCalmly() {
+// checkRevocation adds and removes a key without a fault, and checks that no router
+// accepts the key after revocationLimit.
+func (rs *routerSite) checkRevocation() {
 	rs.configure("last-key")
-	rs.configure("key-of-nobody")
-	time.Sleep(revokedAfter)
+	rs.configure("unused-key")
+	time.Sleep(revocationLimit)
 	for n := range soakRouters {
-		status, _, err := rs.ask(context.Background(), n, "/p/x", fmt.Sprint("revoked-", n), "last-key")
+		status, _, err := rs.send(context.Background(), n, "/p/x", fmt.Sprint("revoked-", n), "last-key")
 		rs.mu.Lock()
-		rs.check(err == nil && status == http.StatusUnauthorized, "router %d answers %d (%v) to a key that was taken away", n, status, err)
+		rs.check(err == nil && status == http.StatusUnauthorized, "router-%d answered status %d (error %v) to a revoked key, want 401", n, status, err)
 		rs.mu.Unlock()
 	}
 }
 
-// calm ends all faults.
-func (rs *routerSite) calm() {
+// endFaults ends all faults, blocks until restarts and pauses are over, and gives the
+// routers five seconds to recover.
+func (rs *routerSite) endFaults() {
 	rs.store.Set(standin.Faults{})
 	for _, re := range rs.replicas {
 		re.Set(standin.ReplicaFaults{})
@@ -259,22 +272,26 @@
 		px.set(false, 0)
 		px.reset()
 	}
-	rs.frozen.Wait()
+	rs.actions.Wait()
 	time.Sleep(5 * time.Second)
 }
 
-func (rs *routerSite) breach(format string, args ...any) {
-	rs.breaches = append(rs.breaches, fmt.Sprintf(format, args...))
+// addViolation records the violation of an invariant. The caller holds mu.
+func (rs *routerSite) addViolation(format string, args ...any) {
+	rs.violations = append(rs.violations, fmt.Sprintf(format, args...))
 }
 
+// check records a violation if ok is false. The caller holds mu, unless no other
+// goroutine runs.
 func (rs *routerSite) check(ok bool, format string, args ...any) {
 	if !ok {
-		rs.breach(format, args...)
+		rs.addViolation(format, args...)
 	}
 }
 
-// ask sends one request and reads its whole answer.
-func (rs *routerSite) ask(ctx context.Context, n int, path, id, key string) (int, string, error) {
+// send sends one request to a router and returns the status and the complete body of
+// the answer.
+func (rs *routerSite) send(ctx context.Context, n int, path, id, key string) (int, string, error) {
 	ctx, cancel := context.WithTimeout(ctx, 8*time.Second)
 	defer cancel()
 	rq, err := http.NewRequestWithContext(ctx, http.MethodPost, fmt.Sprintf("http://127.0.0.1:%d%s", firstPort+10*n, path), strings.NewReader("body"))
@@ -283,7 +300,7 @@
 	}
 	rq.GetBody, rq.Host = nil, routeHost
 	rq.Header = http.Header{"Attempt-Id": {id}, "Key": {key}, "Deadline-Remaining": {"7000"}, "Model": {"*"}}
-	res, err := fresh.Do(rq)
+	res, err := unpooled.Do(rq)
 	if err != nil {
 		return 0, "", err
 	}
@@ -292,15 +309,18 @@
 	return res.StatusCode, string(body), err
 }
 
-var fresh = network.Real().UnpooledClient()
+// unpooled opens a connection for each request, so that no request is repeated by
+// net/http itself.
+var unpooled = network.Real().UnpooledClient()
 
-// caller sends requests of all kinds until ctx ends.
-func (rs *routerSite) caller(ctx context.Context, me int) {
+// runCaller sends streaming, unsafe and safe requests to the routers in turn until ctx
+// ends, and checks the answers.
+func (rs *routerSite) runCaller(ctx context.Context, caller int) {
 	for k := 0; ctx.Err() == nil; k++ {
-		id, n := fmt.Sprintf("c%d-%d", me, k), (me+k)%soakRouters
+		id, n := fmt.Sprintf("c%d-%d", caller, k), (caller+k)%soakRouters
 		path := []string{"/s/x", "/u/x", "/p/x"}[k%3]
 		sentAt := time.Now()
-		status, body, err := rs.ask(ctx, n, path, id, "own")
+		status, body, err := rs.send(ctx, n, path, id, "own")
 		rs.mu.Lock()
 		rs.requests++
 		if path == "/u/x" {
@@ -310,16 +330,17 @@
 			}
 		}
 		if err == nil && status == http.StatusOK {
-			rs.whole++
-			rs.check(body == wantBody(path, id), "request %s got %q", id, body)
+			rs.complete++
+			rs.check(body == wantBody(path, id), "request %s: body is %q, want the complete answer to it", id, body)
 		}
-		rs.check(status != http.StatusUnauthorized && status != http.StatusNotFound, "request %s was denied with %d", id, status)
-		rs.check(time.Since(sentAt) < 9*time.Second, "request %s was held for %s", id, time.Since(sentAt))
+		rs.check(status != http.StatusUnauthorized && status != http.StatusNotFound, "request %s: status %d to a valid key and route", id, status)
+		rs.check(time.Since(sentAt) < 9*time.Second, "request %s: answered after %s, limit 9s", id, time.Since(sentAt))
 		rs.mu.Unlock()
-		time.Sleep(time.Duration(5+me) * time.Millisecond)
+		time.Sleep(time.Duration(5+caller) * time.Millisecond)
 	}
 }
 
+// wantBody returns the body of the complete answer to a request.
 func wantBody(path, id string) string {
 	if path != "/s/x" {
 		return "whole answer to " + id
@@ -331,22 +352,23 @@
 	return sb.String()
 }
 
-// judge holds what callers saw against what replicas ran.
-func (rs *routerSite) judge() {
+// verify compares what callers received with what the replicas ran, and fails the test
+// if it or a check before it found a violation.
+func (rs *routerSite) verify() {
 	runs := map[string]int{}
 	for _, re := range rs.replicas {
 		for _, ru := range re.Runs() {
 			runs[ru.Request]++
-			rs.check(ru.Header.Get("Tenant") == "own" || strings.HasPrefix(ru.Request, "revoked-"), "request %s ran for tenant %q", ru.Request, ru.Header.Get("Tenant"))
+			rs.check(ru.Header.Get("Tenant") == "own" || strings.HasPrefix(ru.Request, "revoked-"), "request %s ran for tenant %q, want \"own\"", ru.Request, ru.Header.Get("Tenant"))
 		}
 	}
 	for _, id := range rs.unsafe {
-		rs.check(runs[id] <= 1, "unsafe request %s ran %d times", id, runs[id])
+		rs.check(runs[id] <= 1, "unsafe request %s ran %d times, want at most once", id, runs[id])
 	}
 	for _, id := range rs.refused {
-		rs.check(runs[id] == 0, "request %s was refused as not run, and ran", id)
+		rs.check(runs[id] == 0, "request %s ran, but was refused as not run", id)
 	}
-	rs.t.Logf("seed %d: %d requests, %d whole answers, %d unsafe, %d refused as not run, faults %v", *seed, rs.requests, rs.whole, len(rs.unsafe), len(rs.refused), rs.faults)
-	qt.Assert(rs.t, rs.whole > rs.requests/3, qt.IsTrue)
-	qt.Assert(rs.t, rs.breaches, qt.HasLen, 0)
+	rs.t.Logf("seed %d: %d requests, %d complete answers, %d unsafe, %d refused as not run, faults %v", *seed, rs.requests, rs.complete, len(rs.unsafe), len(rs.refused), rs.faults)
+	qt.Assert(rs.t, rs.complete > rs.requests/3, qt.IsTrue)
+	qt.Assert(rs.t, rs.violations, qt.HasLen, 0)
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -1,7 +1,7 @@
 //go:build soak
 
-// Package soak_test runs a site of real processes under mixed faults and real
-// signals, from a seed, and counts breaches of what must always hold.
+// Package soak_test runs a site of processes on the loopback interface under faults and
+// signals, chosen at random from a seed, and counts violations of the invariants.
 package soak_test
 
 import (
@@ -42,7 +42,9 @@
 	engines  = 3
 	desks    = 2
 	callers  = 12
-	settle   = 30 * time.Second
+	// recoveryTime is the time from the end of the faults to the check of the
+	// invariants. Until then every bill must be in the store.
+	recoveryTime = 30 * time.Second
 
 	storeAddress = "127.0.0.1:8600"
 	vmsAddress   = "127.0.0.1:8601"
@@ -53,7 +55,8 @@
 func engineAddress(n int) string  { return fmt.Sprintf("127.0.0.1:%d", 8610+n) }
 func deskAddress(n int) string    { return fmt.Sprintf("127.0.0.1:%d", 8640+n) }
 
-// process is a program that can be started again.
+// process is a program that can be killed and started again. The first of args is the
+// name of its binary.
 type process struct {
 	name string
 	args []string
@@ -61,6 +64,7 @@
 	mu   sync.Mutex
 }
 
+// start starts the program from dir. Its output is appended to a log file there.
 func (pr *process) start(t *testing.T, dir string) {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
@@ -82,7 +86,7 @@
 	_ = pr.cmd.Wait()
 }
 
-// site is the processes, and the counts of what happened.
+// site is the processes of a site, and what the callers saw.
 type site struct {
 	t        *testing.T
 	dir      string
@@ -95,13 +99,20 @@
 	mu       sync.Mutex
 	requests int
 	faults   map[string]int
-	whole    []string
-	notRun   []string
+	// bills holds the bill IDs of the complete answers.
+	bills []string
+	// notRun holds the idempotency keys of the calls answered as not run.
+	notRun []string
+	// sessions maps a session to its newest token.
 	sessions map[string]string
 	moved    int
 	wrong    int
 }
 
+// TestSoak sends chat requests and calls to entries while faults are injected. It
+// checks that no call ran twice or ran although it was answered as not run, that
+// every complete answer is billed once, that sessions keep their version, and that
+// answers are not mixed up.
 func TestSoak(t *testing.T) {
 	si := &site{t: t, dir: t.TempDir(), rng: rand.New(rand.NewPCG(*seed, 0)), faults: map[string]int{}, sessions: map[string]string{}}
 	out, err := exec.Command("go", "build", "-o", si.dir+"/", "../cmd/...").CombinedOutput()
@@ -111,20 +122,22 @@
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
 	for n := range callers {
-		wg.Go(func() { si.caller(n, stop) })
+		wg.Go(func() { si.runCaller(n, stop) })
 	}
 	end := time.Now().Add(*length)
 	for time.Now().Before(end) {
-		si.fault()
+		si.injectFault()
 		time.Sleep(time.Duration(500+si.rng.IntN(2500)) * time.Millisecond)
 	}
-	si.clear()
+	si.endFaults()
 	close(stop)
 	wg.Wait()
-	time.Sleep(settle)
-	si.judge()
+	time.Sleep(recoveryTime)
+	si.verify()
 }
 
+// startAll starts the stand-ins, writes the policy to the store, and then starts the
+// entries and stewards.
 func (si *site) startAll() {
 	add := func(name string, args ...string) *process {
 		pr := &process{name: name, args: args}
@@ -153,6 +166,7 @@
 	time.Sleep(3 * time.Second)
 }
 
+// writeFiles writes the policy, the VM list and the settings of the programs.
 func (si *site) writeFiles() {
 	record := func(kind, id, spec string) string {
 		return fmt.Sprintf(`{"schema_version":2,"kind":%q,"id":%q,"spec":%s}`, kind, id, spec)
@@ -200,16 +214,17 @@
 	}
 }
 
-// order sets the faults of a stand-in.
-func order(address, faults string) {
+// setFaults replaces the faults of a stand-in. Errors are ignored.
+func setFaults(address, faults string) {
 	rs, err := http.Post("http://"+address+"/standin/faults", "application/json", strings.NewReader(faults))
 	if err == nil {
 		_ = rs.Body.Close()
 	}
 }
 
-// fault puts one fault to the site; some last while the next one comes.
-func (si *site) fault() {
+// injectFault injects a random fault and blocks until it is over. Faults that a
+// stand-in applies to its next requests are the exception and may last longer.
+func (si *site) injectFault() {
 	faults := []struct {
 		name string
 		run  func()
@@ -247,31 +262,31 @@
 			pr.start(si.t, si.dir)
 		}},
 		{"store down", func() {
-			order(storeAddress, `{"down":true}`)
+			setFaults(storeAddress, `{"down":true}`)
 			time.Sleep(time.Duration(1000+si.rng.IntN(8000)) * time.Millisecond)
-			order(storeAddress, `{}`)
+			setFaults(storeAddress, `{}`)
 		}},
 		{"store frozen", func() {
-			order(storeAddress, `{"freeze":true}`)
+			setFaults(storeAddress, `{"freeze":true}`)
 			time.Sleep(time.Duration(1000+si.rng.IntN(5000)) * time.Millisecond)
-			order(storeAddress, `{}`)
+			setFaults(storeAddress, `{}`)
 		}},
 		{"store slow", func() {
-			order(storeAddress, `{"delay_ms":300}`)
+			setFaults(storeAddress, `{"delay_ms":300}`)
 			time.Sleep(3 * time.Second)
-			order(storeAddress, `{}`)
+			setFaults(storeAddress, `{}`)
 		}},
-		{"store loses answers", func() { order(storeAddress, fmt.Sprintf(`{"lose_answers":%d}`, 1+si.rng.IntN(10))) }},
-		{"engine cuts streams", func() { order(engineAddress(1+si.rng.IntN(engines)), `{"cut_after":4,"cut_streams":5}`) }},
-		{"engine goes silent", func() { order(engineAddress(1+si.rng.IntN(engines)), `{"silent_after":4,"silent_streams":3}`) }},
-		{"engine crosses answers", func() { order(engineAddress(1+si.rng.IntN(engines)), `{"cross_answers":3}`) }},
+		{"store loses responses", func() { setFaults(storeAddress, fmt.Sprintf(`{"lose_answers":%d}`, 1+si.rng.IntN(10))) }},
+		{"engine breaks streams", func() { setFaults(engineAddress(1+si.rng.IntN(engines)), `{"cut_after":4,"cut_streams":5}`) }},
+		{"engine goes silent", func() { setFaults(engineAddress(1+si.rng.IntN(engines)), `{"silent_after":4,"silent_streams":3}`) }},
+		{"engine answers with other request IDs", func() { setFaults(engineAddress(1+si.rng.IntN(engines)), `{"cross_answers":3}`) }},
 		{"engine killed", func() {
 			pr := si.engines[si.rng.IntN(engines)]
 			pr.kill()
 			time.Sleep(2 * time.Second)
 			pr.start(si.t, si.dir)
 		}},
-		{"desk loses answers", func() { order(deskAddress(1+si.rng.IntN(desks)), `{"lose_answers":2}`) }},
+		{"desk loses responses", func() { setFaults(deskAddress(1+si.rng.IntN(desks)), `{"lose_answers":2}`) }},
 	}
 	fa := faults[si.rng.IntN(len(faults))]
 	si.mu.Lock()
@@ -280,18 +295,20 @@
 	fa.run()
 }
 
-func (si *site) clear() {
-	order(storeAddress, `{}`)
+// endFaults ends the faults of all stand-ins.
+func (si *site) endFaults() {
+	setFaults(storeAddress, `{}`)
 	for n := 1; n <= engines; n++ {
-		order(engineAddress(n), `{}`)
+		setFaults(engineAddress(n), `{}`)
 	}
 	for n := 1; n <= desks; n++ {
-		order(deskAddress(n), `{}`)
+		setFaults(deskAddress(n), `{}`)
 	}
 }
 
-// caller asks one entry after the other, in a session and without.
-func (si *site) caller(n int, stop chan struct{}) {
+// runCaller sends requests to the entries in turn until stop is closed: two chat
+// requests of a session, then a call with an idempotency key.
+func (si *site) runCaller(n int, stop chan struct{}) {
 	client := network.Real().UnpooledClient()
 	client.Timeout = 30 * time.Second
 	for i := 0; ; i++ {
@@ -312,6 +329,7 @@
 	}
 }
 
+// chat sends a chat request of session n and checks the answer if it is complete.
 func (si *site) chat(client *http.Client, address string, n, i int) {
 	tokens := 3 + i%20
 	body := fmt.Sprintf(`{"model":"m","max_tokens":%d,"stream":%t,"messages":[{"role":"user","content":"sheet %d"}]}`, tokens, i%2 == 0, n)
@@ -353,10 +371,10 @@
 	}
 	si.mu.Lock()
 	defer si.mu.Unlock()
-	si.whole = append(si.whole, rs.Header.Get("X-Tanager-Bill"))
+	si.bills = append(si.bills, rs.Header.Get("X-Tanager-Bill"))
 	if got != want {
 		si.wrong++
-		si.t.Errorf("answer is not whole: %q, want %q", got, want)
+		si.t.Errorf("text of a complete answer is %q, want %q", got, want)
 	}
 	if token != "" && sessionVersion(token) != version {
 		si.moved++
@@ -364,6 +382,8 @@
 	si.sessions[session] = rs.Header.Get("X-Tanager-Session")
 }
 
+// sessionVersion returns the version that a session token names, without checking the
+// signature.
 func sessionVersion(token string) string {
 	text, _, _ := strings.Cut(token, ".")
 	var cl struct {
@@ -374,6 +394,8 @@
 	return cl.V
 }
 
+// desk sends a call that must run at most once, and records whether the answer says
+// that it was not run.
 func (si *site) desk(client *http.Client, address, key string) {
 	rq, err := http.NewRequest(http.MethodPost, "http://"+address+"/v1/services/desk/checkout", strings.NewReader("{}"))
 	qt.Check(si.t, err, qt.IsNil)
@@ -390,12 +412,13 @@
 	case rs.Header.Get("X-Tanager-Ran") == "not_run":
 		si.notRun = append(si.notRun, key)
 	case rs.StatusCode == http.StatusOK:
-		si.whole = append(si.whole, rs.Header.Get("X-Tanager-Bill"))
+		si.bills = append(si.bills, rs.Header.Get("X-Tanager-Bill"))
 	}
 }
 
-// judge counts the breaches and prints the numbers.
-func (si *site) judge() {
+// verify compares what callers received with what the stand-ins ran and what is billed.
+// It prints the numbers of violations and fails the test unless all are 0.
+func (si *site) verify() {
 	ran := map[string]int{}
 	for n := 1; n <= desks; n++ {
 		rs, err := http.Get("http://" + deskAddress(n) + "/standin/ran")
@@ -407,10 +430,10 @@
 			ran[key] += count
 		}
 	}
-	doubled, falseNotRun := 0, 0
+	runTwice, falseNotRun := 0, 0
 	for _, count := range ran {
 		if count > 1 {
-			doubled++
+			runTwice++
 		}
 	}
 	for _, key := range si.notRun {
@@ -427,15 +450,15 @@
 		stored[bi.GetId()] = true
 	}
 	lost := 0
-	for _, id := range si.whole {
+	for _, id := range si.bills {
 		if !stored[id] {
 			lost++
 		}
 	}
 	billedTwice := li.Stored - len(li.Bills) - len(li.Repeated)
-	fmt.Printf("seed %d: %d requests, %d whole answers, faults %v\n", *seed, si.requests, len(si.whole), si.faults)
-	fmt.Printf("breaches: doubled %d, false not-run %d, bills lost %d, billed twice %d, sessions moved %d, wrong answers %d\n",
-		doubled, falseNotRun, lost, billedTwice, si.moved, si.wrong)
-	qt.Check(si.t, doubled+falseNotRun+lost+billedTwice+si.moved+si.wrong, qt.Equals, 0)
-	qt.Check(si.t, len(si.whole) > 100, qt.IsTrue)
+	fmt.Printf("seed %d: %d requests, %d complete answers, faults %v\n", *seed, si.requests, len(si.bills), si.faults)
+	fmt.Printf("violations: calls run twice %d, false not-run %d, bills lost %d, billed twice %d, sessions moved %d, wrong answers %d\n",
+		runTwice, falseNotRun, lost, billedTwice, si.moved, si.wrong)
+	qt.Check(si.t, runTwice+falseNotRun+lost+billedTwice+si.moved+si.wrong, qt.Equals, 0)
+	qt.Check(si.t, len(si.bills) > 100, qt.IsTrue)
 }
