--- a/capacity/router_test.go
+++ b/capacity/router_test.go
@@ -44,7 +44,7 @@
 func sent(rs *testsite.RouterSite, routers int) int64 {
 	sum := int64(0)
 	for n := 1; n <= routers; n++ {
-		sum += rs.Net.Written(testsite.Host(testsite.RouterName(n)))
+		sum += rs.Net.BytesSent(testsite.Host(testsite.RouterName(n)))
 	}
 	return sum
 }
@@ -67,14 +67,14 @@
 		time.Sleep(10 * time.Second)
 		reads, _ := rs.Store.Calls()
 		for n := range changes {
-			rs.Register(testsite.PlainGroup, 1, fmt.Sprint("v", n), "ready")
+			rs.Register(testsite.PlainService, 1, fmt.Sprint("v", n), "ready")
 			time.Sleep(interval)
 		}
 		reads2, _ := rs.Store.Calls()
 		each := float64(reads2-reads) / routers / (changes * interval).Seconds()
 		t.Logf("%.2f calls of the store a second and router", each)
 		qt.Check(t, each < callsEach, qt.IsTrue)
-		rs.Register(testsite.PlainGroup, 2, "v1", "ready")
+		rs.Register(testsite.PlainService, 2, "v1", "ready")
 		newest := rs.Store.Revision()
 		took := rs.Eventually(inForce, "the last change is in force everywhere", func() bool {
 			for n := 1; n <= routers; n++ {
--- a/capacity/site_test.go
+++ b/capacity/site_test.go
@@ -32,10 +32,10 @@
 		const length = 60 * time.Second
 		entry := testsite.Host(testsite.EntryName(1))
 		reads, writes := si.Store.Calls()
-		before := si.Net.Written(entry)
+		before := si.Net.BytesSent(entry)
 		time.Sleep(length)
 		readsAfter, writesAfter := si.Store.Calls()
-		bytes = float64(si.Net.Written(entry)-before) / length.Seconds()
+		bytes = float64(si.Net.BytesSent(entry)-before) / length.Seconds()
 		calls = float64(readsAfter-reads+writesAfter-writes) / length.Seconds() / float64(2*n)
 	})
 	return bytes, calls
--- a/proof/bill_test.go
+++ b/proof/bill_test.go
@@ -33,7 +33,7 @@
 }
 
 func (an *answers) add(got testsite.Answer) {
-	if got.Err != nil || !got.Whole {
+	if got.Err != nil || !got.Complete {
 		return
 	}
 	an.mu.Lock()
@@ -138,10 +138,10 @@
 		si.Net.Cut(testsite.Host(testsite.EntryName(1)), testsite.StoreAddress)
 		si.Store.Set(standin.Faults{})
 		time.Sleep(12 * time.Second)
-		si.Net.Mend(testsite.Host(testsite.EntryName(1)), testsite.StoreAddress)
+		si.Net.Restore(testsite.Host(testsite.EntryName(1)), testsite.StoreAddress)
 		for n := 2; n <= 3; n++ {
-			si.Net.Mend(testsite.Host(testsite.EntryName(1)), testsite.PeerAddress(n))
-			si.Net.Mend(testsite.Host(testsite.EntryName(n)), testsite.PeerAddress(1))
+			si.Net.Restore(testsite.Host(testsite.EntryName(1)), testsite.PeerAddress(n))
+			si.Net.Restore(testsite.Host(testsite.EntryName(n)), testsite.PeerAddress(1))
 		}
 		time.Sleep(10 * time.Second)
 		qt.Assert(t, len(an.bills), qt.Equals, 20)
@@ -186,7 +186,7 @@
 				si.Net.Kill("engine-1")
 			}
 		}})
-		qt.Assert(t, an.Whole, qt.IsFalse)
+		qt.Assert(t, an.Complete, qt.IsFalse)
 		qt.Assert(t, an.Body, qt.Contains, "answer_incomplete")
 		time.Sleep(3 * time.Second)
 		qt.Assert(t, len(si.Bills().Bills), qt.Equals, 1)
--- a/proof/claim_test.go
+++ b/proof/claim_test.go
@@ -27,7 +27,7 @@
 func settle(si *testsite.Site, key string) testsite.Answer {
 	var an testsite.Answer
 	for range 40 {
-		an = si.Desk(testsite.Call{Entry: 2}, "POST", key, "{}")
+		an = si.Checkout(testsite.Call{Entry: 2}, "POST", key, "{}")
 		if an.Err == nil && an.Ran() == entry.HasRun {
 			return an
 		}
@@ -38,16 +38,16 @@
 
 func TestRepeatAtAnotherEntryGivesTheSameAnswer(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 3, Plains: 2}, func(t *testing.T, si *testsite.Site) {
-		first := si.Desk(testsite.Call{Entry: 1}, "POST", "order-1", "{}")
+		first := si.Checkout(testsite.Call{Entry: 1}, "POST", "order-1", "{}")
 		qt.Assert(t, first.Status, qt.Equals, 200)
 		for n := 1; n <= 3; n++ {
-			an := si.Desk(testsite.Call{Entry: n}, "POST", "order-1", "{}")
+			an := si.Checkout(testsite.Call{Entry: n}, "POST", "order-1", "{}")
 			qt.Assert(t, an.Body, qt.Equals, first.Body)
 			qt.Assert(t, an.Header.Get(entry.HeaderReplayed), qt.Equals, "true")
 			qt.Assert(t, an.Header.Get(entry.HeaderBill), qt.Equals, first.Header.Get(entry.HeaderBill))
 		}
 		qt.Assert(t, timesRun(si, "order-1"), qt.Equals, 1)
-		other := si.Desk(testsite.Call{Entry: 2}, "POST", "order-1", `{"another":"call"}`)
+		other := si.Checkout(testsite.Call{Entry: 2}, "POST", "order-1", `{"another":"call"}`)
 		qt.Assert(t, other.Status, qt.Equals, 422)
 		qt.Assert(t, other.Ran(), qt.Equals, entry.NotRun)
 	})
@@ -59,7 +59,7 @@
 			key := fmt.Sprintf("order-%d", round)
 			var wg sync.WaitGroup
 			for n := 1; n <= 4; n++ {
-				wg.Go(func() { si.Desk(testsite.Call{Entry: n}, "POST", key, "{}") })
+				wg.Go(func() { si.Checkout(testsite.Call{Entry: n}, "POST", key, "{}") })
 			}
 			wg.Wait()
 			qt.Assert(t, timesRun(si, key), qt.Equals, 1)
@@ -74,7 +74,7 @@
 		for round := range 6 {
 			key := fmt.Sprintf("order-%d", round)
 			si.Store.Set(standin.Faults{LoseAnswers: 1 + round%3})
-			an := si.Desk(testsite.Call{Entry: 1}, "POST", key, "{}")
+			an := si.Checkout(testsite.Call{Entry: 1}, "POST", key, "{}")
 			qt.Assert(t, an.Status == 200 || an.Ran() == entry.NotRun, qt.IsTrue, qt.Commentf("%d %s", an.Status, an.Body))
 			if an.Ran() == entry.NotRun {
 				qt.Assert(t, timesRun(si, key), qt.Equals, 0)
@@ -88,10 +88,10 @@
 func TestStoreOutageRefusesWithATrueNotRun(t *testing.T) {
 	for _, fault := range []standin.Faults{{Down: true}, {Freeze: true}} {
 		withSite(t, testsite.Options{Entries: 3, Engines: 1, Plains: 2}, func(t *testing.T, si *testsite.Site) {
-			si.Desk(testsite.Call{Entry: 1}, "POST", "before", "{}")
+			si.Checkout(testsite.Call{Entry: 1}, "POST", "before", "{}")
 			si.Store.Set(fault)
 			time.Sleep(5 * time.Second)
-			an := si.Desk(testsite.Call{Entry: 1}, "POST", "order-1", "{}")
+			an := si.Checkout(testsite.Call{Entry: 1}, "POST", "order-1", "{}")
 			qt.Assert(t, an.Status, qt.Equals, 503)
 			qt.Assert(t, an.Ran(), qt.Equals, entry.NotRun)
 			qt.Assert(t, an.Header.Get("Retry-After"), qt.Not(qt.Equals), "")
@@ -107,16 +107,16 @@
 
 func TestClaimLostInAnOutageIsReleased(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 2, Plains: 1}, func(t *testing.T, si *testsite.Site) {
-		si.Desk(testsite.Call{Entry: 1}, "POST", "warm", "{}")
+		si.Checkout(testsite.Call{Entry: 1}, "POST", "warm", "{}")
 		// The claim takes effect, its answer is lost, and the store stays away
 		// for longer than the caller waits.
 		si.Store.Set(standin.Faults{LoseAnswers: 1000})
-		an := si.Desk(testsite.Call{Entry: 1}, "POST", "order-1", "{}")
+		an := si.Checkout(testsite.Call{Entry: 1}, "POST", "order-1", "{}")
 		qt.Assert(t, an.Ran(), qt.Equals, entry.NotRun)
 		qt.Assert(t, timesRun(si, "order-1"), qt.Equals, 0)
 		si.Store.Set(standin.Faults{})
 		time.Sleep(5 * time.Second)
-		qt.Assert(t, si.Desk(testsite.Call{Entry: 2}, "POST", "order-1", "{}").Status, qt.Equals, 200)
+		qt.Assert(t, si.Checkout(testsite.Call{Entry: 2}, "POST", "order-1", "{}").Status, qt.Equals, 200)
 		qt.Assert(t, timesRun(si, "order-1"), qt.Equals, 1)
 	})
 }
@@ -125,17 +125,17 @@
 	withSite(t, testsite.Options{Entries: 3, Plains: 1}, func(t *testing.T, si *testsite.Site) {
 		si.Plains["desk-1"].Set(standin.Faults{DelayMS: 300})
 		var wg sync.WaitGroup
-		wg.Go(func() { si.Desk(testsite.Call{Entry: 1}, "POST", "order-1", "{}") })
+		wg.Go(func() { si.Checkout(testsite.Call{Entry: 1}, "POST", "order-1", "{}") })
 		time.Sleep(150 * time.Millisecond)
 		si.KillEntry(1)
 		wg.Wait()
-		an := si.Desk(testsite.Call{Entry: 2}, "POST", "order-1", "{}")
+		an := si.Checkout(testsite.Call{Entry: 2}, "POST", "order-1", "{}")
 		qt.Assert(t, an.Status, qt.Equals, 409)
 		qt.Assert(t, an.Ran(), qt.Equals, entry.RanUnknown)
 		qt.Assert(t, an.Body, qt.Contains, "call_under_way")
 		time.Sleep(10 * time.Second)
 		for n := 2; n <= 3; n++ {
-			an = si.Desk(testsite.Call{Entry: n}, "POST", "order-1", "{}")
+			an = si.Checkout(testsite.Call{Entry: n}, "POST", "order-1", "{}")
 			qt.Assert(t, an.Body, qt.Contains, "outcome_unknown")
 		}
 		qt.Assert(t, timesRun(si, "order-1") <= 1, qt.IsTrue)
@@ -161,17 +161,17 @@
 		},
 		"open connections go silent": func(si *testsite.Site) {
 			for n := 1; n <= 2; n++ {
-				si.Net.Silence(testsite.Host(testsite.EntryName(1)), testsite.PlainAddress(n))
+				si.Net.Blackhole(testsite.Host(testsite.EntryName(1)), testsite.PlainAddress(n))
 			}
 		},
 	}
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
 			withSite(t, testsite.Options{Entries: 2, Plains: 2}, func(t *testing.T, si *testsite.Site) {
-				si.Desk(testsite.Call{Entry: 1}, "POST", "warm", "{}")
+				si.Checkout(testsite.Call{Entry: 1}, "POST", "warm", "{}")
 				fault(si)
 				for _, key := range []string{"order-1", ""} {
-					an := si.Desk(testsite.Call{Entry: 1}, "POST", key, "{}")
+					an := si.Checkout(testsite.Call{Entry: 1}, "POST", key, "{}")
 					if an.Ran() == entry.NotRun {
 						qt.Assert(t, timesRun(si, key), qt.Equals, 0)
 					}
@@ -194,7 +194,7 @@
 		si.Net.Kill("desk-1")
 		for round := range 10 {
 			key := fmt.Sprintf("order-%d", round)
-			an := si.Desk(testsite.Call{Entry: 1}, "POST", key, "{}")
+			an := si.Checkout(testsite.Call{Entry: 1}, "POST", key, "{}")
 			qt.Assert(t, an.Status, qt.Equals, 200, qt.Commentf("%s", an.Body))
 			qt.Assert(t, timesRun(si, key), qt.Equals, 1)
 		}
--- a/proof/configuration_test.go
+++ b/proof/configuration_test.go
@@ -46,11 +46,11 @@
 	}{
 		"no failure": {quietLimit, func(*testsite.Site) {}},
 		"entry's connections to the store go silent": {inForceLimit, func(si *testsite.Site) {
-			si.Net.Silence(entryHost(2), testsite.StoreAddress)
+			si.Net.Blackhole(entryHost(2), testsite.StoreAddress)
 		}},
 		"every entry's connections to the store go silent": {inForceLimit, func(si *testsite.Site) {
 			for n := 1; n <= 3; n++ {
-				si.Net.Silence(entryHost(n), testsite.StoreAddress)
+				si.Net.Blackhole(entryHost(n), testsite.StoreAddress)
 			}
 		}},
 		"entry cut off from the store": {inForceLimit, func(si *testsite.Site) {
@@ -142,14 +142,14 @@
 		var last store.Revision
 		for n := range 15 {
 			if n%5 == 3 {
-				si.Net.Silence(testsite.Host(testsite.EntryName(1+n%3)), testsite.StoreAddress)
+				si.Net.Blackhole(testsite.Host(testsite.EntryName(1+n%3)), testsite.StoreAddress)
 			}
 			last = si.Apply(describe(n))
 			time.Sleep(300 * time.Millisecond)
 		}
 		for n := 1; n <= 3; n++ {
-			si.Net.Mend(old, testsite.PeerAddress(n))
-			si.Net.Mend(testsite.Host(testsite.EntryName(n)), testsite.PeerAddress(4))
+			si.Net.Restore(old, testsite.PeerAddress(n))
+			si.Net.Restore(testsite.Host(testsite.EntryName(n)), testsite.PeerAddress(4))
 		}
 		si.Eventually(inForceLimit, "in force everywhere", inForce(si, last, 1, 2, 3, 4))
 		close(stop)
@@ -266,7 +266,7 @@
 		qt.Assert(t, an.Ran(), qt.Equals, entry.NotRun)
 		qt.Assert(t, len(si.Addresses(1)), qt.Equals, 2)
 		qt.Assert(t, si.Chat(testsite.Call{Entry: 1}).Header.Get(entry.HeaderVersion), qt.Equals, "m-2")
-		si.Net.Mend(lone, testsite.StoreAddress)
+		si.Net.Restore(lone, testsite.StoreAddress)
 		si.Eventually(inForceLimit, "entry serves again", func() bool {
 			return si.Chat(testsite.Call{Entry: 3}).Header.Get(entry.HeaderVersion) == "m-2"
 		})
--- a/proof/limit_test.go
+++ b/proof/limit_test.go
@@ -74,7 +74,7 @@
 			"headers": {head, 6 * time.Second},
 			"body":    {head + "Authorization: Bearer " + testsite.CallerKey + "\r\nContent-Length: 100\r\n\r\n{", 17 * time.Second},
 		} {
-			co, err := si.Net.Of(testsite.Caller).Dial(t.Context(), "tcp", testsite.EntryAddress(1))
+			co, err := si.Net.ForHost(testsite.Caller).Dial(t.Context(), "tcp", testsite.EntryAddress(1))
 			qt.Assert(t, err, qt.IsNil)
 			started := time.Now()
 			_, err = co.Write([]byte(ca.text))
@@ -89,7 +89,7 @@
 
 func TestCallerThatStopsReadingIsGivenUp(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 1, Engines: 1, EntrySettings: alone()}, func(t *testing.T, si *testsite.Site) {
-		co, err := si.Net.Of(testsite.Caller).Dial(t.Context(), "tcp", testsite.EntryAddress(1))
+		co, err := si.Net.ForHost(testsite.Caller).Dial(t.Context(), "tcp", testsite.EntryAddress(1))
 		qt.Assert(t, err, qt.IsNil)
 		body := `{"model":"m","stream":true,"max_tokens":50,"messages":[{"role":"user","content":"x"}]}`
 		_, err = fmt.Fprintf(co, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n\r\n%s", testsite.CallerKey, len(body), body)
@@ -128,10 +128,10 @@
 		refusedAt := time.Now()
 		time.Sleep(5 * time.Second)
 		qt.Assert(t, lastRun(si, "m-1").After(refusedAt), qt.IsFalse)
-		an := si.Desk(testsite.Call{Entry: 3}, "POST", "order-1", "{}")
+		an := si.Checkout(testsite.Call{Entry: 3}, "POST", "order-1", "{}")
 		qt.Assert(t, an.Ran(), qt.Equals, entry.NotRun)
 		qt.Assert(t, len(si.Addresses(1)), qt.Equals, 4)
-		each(si.Net.Mend)
+		each(si.Net.Restore)
 		si.Eventually(inForceLimit, "all serve the newest", func() bool {
 			for n := 1; n <= 6; n++ {
 				if si.Chat(testsite.Call{Entry: n}).Header.Get(entry.HeaderVersion) != "m-2" {
--- a/proof/moment_test.go
+++ b/proof/moment_test.go
@@ -21,9 +21,9 @@
 	"another entry dies":  func(si *testsite.Site) { si.KillEntry(2) },
 	"links go silent": func(si *testsite.Site) {
 		for n := 1; n <= 4; n++ {
-			si.Net.Silence(testsite.Host(testsite.EntryName(n)), testsite.StoreAddress)
-			si.Net.Silence(testsite.Host(testsite.EntryName(n)), testsite.PlainAddress(1))
-			si.Net.Silence(testsite.Host(testsite.EntryName(n)), testsite.EngineAddress(1))
+			si.Net.Blackhole(testsite.Host(testsite.EntryName(n)), testsite.StoreAddress)
+			si.Net.Blackhole(testsite.Host(testsite.EntryName(n)), testsite.PlainAddress(1))
+			si.Net.Blackhole(testsite.Host(testsite.EntryName(n)), testsite.EngineAddress(1))
 		}
 	},
 }
@@ -45,7 +45,7 @@
 					si.Plains["desk-1"].Set(standin.Faults{DelayMS: 10})
 					var an testsite.Answer
 					var wg sync.WaitGroup
-					wg.Go(func() { an = si.Desk(testsite.Call{Entry: 1}, "POST", key, "{}") })
+					wg.Go(func() { an = si.Checkout(testsite.Call{Entry: 1}, "POST", key, "{}") })
 					time.Sleep(moment)
 					si.KillEntry(1)
 					second(si)
@@ -56,7 +56,7 @@
 					time.Sleep(time.Second)
 					mend(si)
 					time.Sleep(10 * time.Second)
-					last := si.Desk(testsite.Call{Entry: 3}, "POST", key, "{}")
+					last := si.Checkout(testsite.Call{Entry: 3}, "POST", key, "{}")
 					qt.Check(t, timesRun(si, key) <= 1, qt.IsTrue, qt.Commentf("%s: ran %d times", moment, timesRun(si, key)))
 					if last.Status == 200 {
 						qt.Check(t, timesRun(si, key), qt.Equals, 1)
@@ -89,8 +89,8 @@
 					si.KillEntry(1)
 					second(si)
 					wg.Wait()
-					if an.Whole {
-						qt.Check(t, an.Text, qt.Equals, testsite.WholeText("m-1", 5))
+					if an.Complete {
+						qt.Check(t, an.Text, qt.Equals, testsite.EngineText("m-1", 5))
 					}
 					got.add(an)
 					time.Sleep(time.Second)
--- a/proof/serve_test.go
+++ b/proof/serve_test.go
@@ -16,8 +16,8 @@
 				an := si.Chat(testsite.Call{Entry: n, Tokens: 6, Stream: stream})
 				qt.Assert(t, an.Err, qt.IsNil)
 				qt.Assert(t, an.Status, qt.Equals, 200, qt.Commentf("%s", an.Body))
-				qt.Assert(t, an.Whole, qt.IsTrue)
-				qt.Assert(t, an.Text, qt.Equals, testsite.WholeText("m-1", 6))
+				qt.Assert(t, an.Complete, qt.IsTrue)
+				qt.Assert(t, an.Text, qt.Equals, testsite.EngineText("m-1", 6))
 				qt.Assert(t, an.Ran(), qt.Equals, entry.HasRun)
 			}
 		}
--- a/proof/steward_test.go
+++ b/proof/steward_test.go
@@ -261,7 +261,7 @@
 
 func mendAll(si *testsite.Site, n int) {
 	for _, li := range stewardLinks(n) {
-		si.Net.Mend(li.from, li.to)
+		si.Net.Restore(li.from, li.to)
 	}
 }
 
--- a/proof/stream_test.go
+++ b/proof/stream_test.go
@@ -32,8 +32,8 @@
 				withSite(t, testsite.Options{Entries: 1, Engines: 1, EntrySettings: alone()}, func(t *testing.T, si *testsite.Site) {
 					fault(si)
 					an := si.Chat(testsite.Call{Tokens: 20, Stream: stream})
-					qt.Assert(t, an.Whole, qt.IsTrue, qt.Commentf("%s", an.Body))
-					qt.Assert(t, an.Text, qt.Equals, testsite.WholeText("m-1", 20))
+					qt.Assert(t, an.Complete, qt.IsTrue, qt.Commentf("%s", an.Body))
+					qt.Assert(t, an.Text, qt.Equals, testsite.EngineText("m-1", 20))
 					qt.Assert(t, len(si.Engines["engine-1"].Ran()), qt.Equals, 1)
 					qt.Assert(t, si.State(1).StreamsResumed > 0, qt.IsTrue)
 				})
@@ -50,11 +50,11 @@
 	withSite(t, testsite.Options{Entries: 1, Engines: 1, EntrySettings: alone()}, func(t *testing.T, si *testsite.Site) {
 		an := si.Chat(testsite.Call{Tokens: 60, Stream: true, OnChunk: func(n int) {
 			if n == 10 || n == 30 {
-				si.Net.Silence(testsite.Host(testsite.EntryName(1)), testsite.EngineAddress(1))
+				si.Net.Blackhole(testsite.Host(testsite.EntryName(1)), testsite.EngineAddress(1))
 			}
 		}})
-		qt.Assert(t, an.Whole, qt.IsTrue)
-		qt.Assert(t, an.Text, qt.Equals, testsite.WholeText("m-1", 60))
+		qt.Assert(t, an.Complete, qt.IsTrue)
+		qt.Assert(t, an.Text, qt.Equals, testsite.EngineText("m-1", 60))
 	})
 }
 
@@ -65,8 +65,8 @@
 		}
 		for range 4 {
 			an := si.Chat(testsite.Call{Tokens: 5, Stream: true, Prompt: fmt.Sprint(time.Now())})
-			qt.Assert(t, an.Text == "" || an.Text == testsite.WholeText("m-1", 5), qt.IsTrue)
-			qt.Assert(t, an.Text != "" || !an.Whole, qt.IsTrue, qt.Commentf("an empty answer passed as whole: %s", an.Body))
+			qt.Assert(t, an.Text == "" || an.Text == testsite.EngineText("m-1", 5), qt.IsTrue)
+			qt.Assert(t, an.Text != "" || !an.Complete, qt.IsTrue, qt.Commentf("an empty answer passed as whole: %s", an.Body))
 		}
 		qt.Assert(t, si.State(1).AnswersDropped > 0, qt.IsTrue)
 	})
@@ -84,8 +84,8 @@
 						model := []string{"m", "large"}[(worker+i)%2]
 						tokens := 3 + (worker+i)%9
 						an := si.Chat(testsite.Call{Entry: n, Model: model, Tokens: tokens, Stream: i%2 == 0})
-						if an.Whole {
-							qt.Check(t, an.Text, qt.Equals, testsite.WholeText(model+"-1", tokens))
+						if an.Complete {
+							qt.Check(t, an.Text, qt.Equals, testsite.EngineText(model+"-1", tokens))
 						}
 					}
 				})
@@ -94,7 +94,7 @@
 		for range 20 {
 			for n := 1; n <= 3; n++ {
 				si.Engines[fmt.Sprintf("engine-%d", n)].Set(standin.Faults{CutAfter: 2, CutStreams: 2})
-				si.Net.Silence(testsite.Host(testsite.EntryName(n)), testsite.EngineAddress(n))
+				si.Net.Blackhole(testsite.Host(testsite.EntryName(n)), testsite.EngineAddress(n))
 			}
 			time.Sleep(200 * time.Millisecond)
 		}
@@ -107,13 +107,13 @@
 		silenceAll := func() {
 			for n := 1; n <= 3; n++ {
 				ho := testsite.Host(testsite.EntryName(n))
-				si.Net.Silence(ho, testsite.StoreAddress)
-				si.Net.Silence(ho, testsite.VMsAddress)
+				si.Net.Blackhole(ho, testsite.StoreAddress)
+				si.Net.Blackhole(ho, testsite.VMsAddress)
 				for m := 1; m <= 3; m++ {
-					si.Net.Silence(ho, testsite.PeerAddress(m))
+					si.Net.Blackhole(ho, testsite.PeerAddress(m))
 				}
 				for m := 1; m <= 2; m++ {
-					si.Net.Silence(ho, testsite.EngineAddress(m))
+					si.Net.Blackhole(ho, testsite.EngineAddress(m))
 				}
 			}
 		}
@@ -149,7 +149,7 @@
 						got.add(an)
 						mu.Lock()
 						sent++
-						if !an.Whole {
+						if !an.Complete {
 							cutOff++
 							t.Logf("cut off: %v %d %s", an.Err, an.Status, an.Body)
 						}
@@ -233,7 +233,7 @@
 					n := 1 + (caller+i)%8
 					got.add(si.Chat(testsite.Call{Entry: n, Stream: i%2 == 0}))
 					key := fmt.Sprintf("%d-%d", caller, i)
-					an := si.Desk(testsite.Call{Entry: n}, "POST", key, "{}")
+					an := si.Checkout(testsite.Call{Entry: n}, "POST", key, "{}")
 					if an.Err == nil && an.Ran() == entry.NotRun {
 						qt.Check(t, timesRun(si, key), qt.Equals, 0)
 					}
--- a/proof/version_test.go
+++ b/proof/version_test.go
@@ -30,25 +30,25 @@
 func TestOrganisationRunsOnlyOnWhatItMayUse(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 2, Engines: 1}, func(t *testing.T, si *testsite.Site) {
 		for _, model := range []string{"large", "large-1", "auto", "nothing"} {
-			an := si.Chat(testsite.Call{Key: testsite.OtherKey, Model: model})
+			an := si.Chat(testsite.Call{Key: testsite.RestrictedKey, Model: model})
 			qt.Assert(t, an.Status, qt.Equals, 404)
 			qt.Assert(t, an.Ran(), qt.Equals, entry.NotRun)
 		}
-		qt.Assert(t, si.Chat(testsite.Call{Key: testsite.OtherKey, Model: "m"}).Status, qt.Equals, 200)
+		qt.Assert(t, si.Chat(testsite.Call{Key: testsite.RestrictedKey, Model: "m"}).Status, qt.Equals, 200)
 		qt.Assert(t, si.Chat(testsite.Call{Key: "unknown"}).Status, qt.Equals, 401)
-		an := si.Chat(testsite.Call{Key: testsite.OtherKey, Header: map[string]string{entry.HeaderRank: "urgent"}})
+		an := si.Chat(testsite.Call{Key: testsite.RestrictedKey, Header: map[string]string{entry.HeaderRank: "urgent"}})
 		qt.Assert(t, an.Status, qt.Equals, 403)
-		an = si.Desk(testsite.Call{Key: testsite.OtherKey}, "POST", "key", "{}")
+		an = si.Checkout(testsite.Call{Key: testsite.RestrictedKey}, "POST", "key", "{}")
 		qt.Assert(t, an.Status, qt.Equals, 404)
-		list := si.Get(testsite.Call{Key: testsite.OtherKey}, "/v1/models").Body
+		list := si.Get(testsite.Call{Key: testsite.RestrictedKey}, "/v1/models").Body
 		qt.Assert(t, list, qt.Contains, `"m-1"`)
 		qt.Assert(t, list, qt.Not(qt.Contains), "large")
 		// A cascade gives only models that the organisation may use.
 		si.Apply(testsite.Record("organisation", "verse", fmt.Sprintf(
-			`{"key_hashes":[%q],"allowed_models":["auto","m"],"allowed_ranks":["standard"]}`, hashOf(testsite.OtherKey))))
+			`{"key_hashes":[%q],"allowed_models":["auto","m"],"allowed_ranks":["standard"]}`, hashOf(testsite.RestrictedKey))))
 		time.Sleep(quietLimit)
 		for range 40 {
-			an := si.Chat(testsite.Call{Key: testsite.OtherKey, Model: "auto"})
+			an := si.Chat(testsite.Call{Key: testsite.RestrictedKey, Model: "auto"})
 			qt.Assert(t, an.Header.Get(entry.HeaderVersion), qt.Equals, "m-1")
 		}
 	})
--- a/router/change_test.go
+++ b/router/change_test.go
@@ -41,13 +41,13 @@
 		rs.Net.Cut(testsite.Host(testsite.RouterName(2)), testsite.KVAddress)
 		time.Sleep(time.Second)
 		rs.Configure(newKeyOnly)
-		rs.Register(testsite.PlainGroup, 1, "v1", "draining")
+		rs.Register(testsite.PlainService, 1, "v1", "draining")
 		time.Sleep(applyLimit)
 		qt.Assert(t, do(rs, request{router: 2, id: "a", path: testsite.SafeRoute}).status, qt.Equals, http.StatusUnauthorized)
 		for n := range 8 {
 			qt.Assert(t, do(rs, request{router: 2, id: fmt.Sprint(n), path: testsite.SafeRoute, key: "new-key"}).status, qt.Equals, http.StatusOK)
 		}
-		qt.Assert(t, len(rs.Replicas[testsite.ReplicaID(testsite.PlainGroup, 1, "v1")].Runs()), qt.Equals, 0)
+		qt.Assert(t, len(rs.Replicas[testsite.ReplicaID(testsite.PlainService, 1, "v1")].Runs()), qt.Equals, 0)
 	})
 }
 
@@ -68,7 +68,7 @@
 // pooled connection that had stalled as well, and the change was not seen in time.
 func TestStalledWatchIsReopened(t *testing.T) {
 	withSite(t, testsite.RouterOptions{Routers: 1, Plains: 1}, func(t *testing.T, rs *testsite.RouterSite) {
-		rs.Net.Silence(testsite.Host(testsite.RouterName(1)), testsite.KVAddress)
+		rs.Net.Blackhole(testsite.Host(testsite.RouterName(1)), testsite.KVAddress)
 		rs.Configure(func(co *testsite.Configuration) { co.Tenants = nil })
 		rs.Eventually(3*time.Second, "the change is in force", func() bool {
 			return do(rs, request{id: "x", path: testsite.SafeRoute, key: "any"}).status == http.StatusOK
@@ -81,14 +81,14 @@
 // the router has to read everything again, and must drop the replica.
 func TestRemovalIsSeenAfterCompaction(t *testing.T) {
 	withSite(t, testsite.RouterOptions{Routers: 1, Plains: 2}, func(t *testing.T, rs *testsite.RouterSite) {
-		rs.Net.Silence(testsite.Host(testsite.RouterName(1)), testsite.KVAddress)
-		rs.Unregister(testsite.PlainGroup, 1, "v1")
+		rs.Net.Blackhole(testsite.Host(testsite.RouterName(1)), testsite.KVAddress)
+		rs.Unregister(testsite.PlainService, 1, "v1")
 		rs.Store.Compact()
 		time.Sleep(5 * time.Second)
 		for n := range 8 {
 			qt.Assert(t, do(rs, request{id: fmt.Sprint(n), path: testsite.SafeRoute}).status, qt.Equals, http.StatusOK)
 		}
-		qt.Assert(t, len(rs.Replicas[testsite.ReplicaID(testsite.PlainGroup, 1, "v1")].Runs()), qt.Equals, 0)
+		qt.Assert(t, len(rs.Replicas[testsite.ReplicaID(testsite.PlainService, 1, "v1")].Runs()), qt.Equals, 0)
 	})
 }
 
@@ -100,8 +100,8 @@
 // request instead of from the removal.
 func TestDepartedReplicaGetsNoRequests(t *testing.T) {
 	for name, leave := range map[string]func(rs *testsite.RouterSite){
-		"draining": func(rs *testsite.RouterSite) { rs.Register(testsite.PlainGroup, 1, "v1", "draining") },
-		"removed":  func(rs *testsite.RouterSite) { rs.Unregister(testsite.PlainGroup, 1, "v1") },
+		"draining": func(rs *testsite.RouterSite) { rs.Register(testsite.PlainService, 1, "v1", "draining") },
+		"removed":  func(rs *testsite.RouterSite) { rs.Unregister(testsite.PlainService, 1, "v1") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			busy := standin.ReplicaOptions{Delay: 20 * time.Millisecond}
@@ -109,14 +109,14 @@
 				ho := testsite.Host(testsite.RouterName(2))
 				rs.Net.Cut(ho, testsite.KVAddress)
 				time.Sleep(4 * time.Second)
-				rs.Net.Mend(ho, testsite.KVAddress)
+				rs.Net.Restore(ho, testsite.KVAddress)
 				time.Sleep(1500 * time.Millisecond)
 				leave(rs)
 				left := time.Now()
 				for n := 0; time.Since(left) < 4*time.Second; n++ {
 					sendConcurrently(t, rs, fmt.Sprint(n))
 				}
-				for _, ru := range rs.Replicas[testsite.ReplicaID(testsite.PlainGroup, 1, "v1")].Runs() {
+				for _, ru := range rs.Replicas[testsite.ReplicaID(testsite.PlainService, 1, "v1")].Runs() {
 					qt.Assert(t, ru.At.Before(left.Add(applyLimit)), qt.IsTrue, qt.Commentf("ran a request %s after it departed", ru.At.Sub(left)))
 				}
 			})
@@ -151,20 +151,20 @@
 		rs.Store.Set(standin.Faults{Down: true})
 		time.Sleep(6 * time.Second)
 		qt.Assert(t, do(rs, request{id: "a", path: testsite.SafeRoute}).status, qt.Equals, http.StatusOK)
-		rs.Unregister(testsite.PlainGroup, 1, "v1")
-		rs.Unregister(testsite.PlainGroup, 2, "v1")
+		rs.Unregister(testsite.PlainService, 1, "v1")
+		rs.Unregister(testsite.PlainService, 2, "v1")
 		rs.Store.Set(standin.Faults{})
 		for n := range 12 {
 			time.Sleep(100 * time.Millisecond)
 			qt.Assert(t, do(rs, request{id: fmt.Sprint("b", n), path: testsite.SafeRoute}).status, qt.Equals, http.StatusOK)
 		}
-		rs.Register(testsite.PlainGroup, 2, "v1", "ready")
+		rs.Register(testsite.PlainService, 2, "v1", "ready")
 		time.Sleep(3 * time.Second)
-		before := len(rs.Replicas[testsite.ReplicaID(testsite.PlainGroup, 1, "v1")].Runs())
+		before := len(rs.Replicas[testsite.ReplicaID(testsite.PlainService, 1, "v1")].Runs())
 		for n := range 8 {
 			qt.Assert(t, do(rs, request{id: fmt.Sprint("c", n), path: testsite.SafeRoute}).status, qt.Equals, http.StatusOK)
 		}
-		qt.Assert(t, len(rs.Replicas[testsite.ReplicaID(testsite.PlainGroup, 1, "v1")].Runs()), qt.Equals, before)
+		qt.Assert(t, len(rs.Replicas[testsite.ReplicaID(testsite.PlainService, 1, "v1")].Runs()), qt.Equals, before)
 	})
 }
 
@@ -173,13 +173,13 @@
 // others must go on being used.
 func TestMalformedRegistrationGetsNoRequests(t *testing.T) {
 	withSite(t, testsite.RouterOptions{Routers: 1, Plains: 2}, func(t *testing.T, rs *testsite.RouterSite) {
-		rs.Store.Write("servers/"+testsite.ReplicaID(testsite.PlainGroup, 1, "v1"), []byte(`{"service":7`))
+		rs.Store.Write("servers/"+testsite.ReplicaID(testsite.PlainService, 1, "v1"), []byte(`{"service":7`))
 		rs.Store.Write("servers/stranger", []byte("\x00\xff"))
 		time.Sleep(time.Second)
 		for n := range 8 {
 			qt.Assert(t, do(rs, request{id: fmt.Sprint(n), path: testsite.SafeRoute}).status, qt.Equals, http.StatusOK)
 		}
-		qt.Assert(t, len(rs.Replicas[testsite.ReplicaID(testsite.PlainGroup, 1, "v1")].Runs()), qt.Equals, 0)
+		qt.Assert(t, len(rs.Replicas[testsite.ReplicaID(testsite.PlainService, 1, "v1")].Runs()), qt.Equals, 0)
 	})
 }
 
--- a/router/recovery_test.go
+++ b/router/recovery_test.go
@@ -95,19 +95,19 @@
 	for _, late := range []int{1, 2, 3, 4} {
 		t.Run(fmt.Sprint(late, " late writes"), func(t *testing.T) {
 			withSite(t, testsite.RouterOptions{Routers: 3, Plains: 2}, func(t *testing.T, rs *testsite.RouterSite) {
-				rs.OrderRollout(testsite.PlainGroup, "v2", rolloutLimit)
+				rs.OrderRollout(testsite.PlainService, "v2", rolloutLimit)
 				rs.Store.Set(standin.Faults{LateWrites: late, LateMS: 6000, LateAbout: "status/rollout/"})
 				addRelease(rs, standin.ReplicaFaults{Status: 500})
 				ordered := time.Now()
-				for rs.RolloutState(testsite.PlainGroup) != "rolled_back" && time.Since(ordered) < 8*time.Second {
+				for rs.RolloutState(testsite.PlainService) != "rolled_back" && time.Since(ordered) < 8*time.Second {
 					sendLoad(rs, 50*time.Millisecond, 3)
 				}
-				qt.Assert(t, rs.RolloutState(testsite.PlainGroup), qt.Equals, "rolled_back")
+				qt.Assert(t, rs.RolloutState(testsite.PlainService), qt.Equals, "rolled_back")
 				sendLoad(rs, applyLimit, 3)
 				before := countRuns(rs, "v2")
 				for time.Since(ordered) < 14*time.Second {
 					sendLoad(rs, 50*time.Millisecond, 3)
-					qt.Assert(t, rs.RolloutState(testsite.PlainGroup), qt.Equals, "rolled_back")
+					qt.Assert(t, rs.RolloutState(testsite.PlainService), qt.Equals, "rolled_back")
 				}
 				qt.Assert(t, countRuns(rs, "v2"), qt.Equals, before)
 			})
@@ -127,13 +127,13 @@
 			qt.Assert(t, do(rs, request{id: id, path: testsite.UnsafeRoute}).status, qt.Equals, http.StatusOK)
 			qt.Assert(t, runsOfRequest(rs, id), qt.HasLen, 1)
 			for k := 1; k <= 2; k++ {
-				address := testsite.ReplicaAddress(testsite.PlainGroup, k, "v1")
+				address := testsite.ReplicaAddress(testsite.PlainService, k, "v1")
 				if n%2 == 0 {
-					rs.Net.Silence(ho, address)
+					rs.Net.Blackhole(ho, address)
 					continue
 				}
 				rs.Net.Cut(ho, address)
-				rs.Net.Mend(ho, address)
+				rs.Net.Restore(ho, address)
 			}
 		}
 	})
--- a/router/rollout_test.go
+++ b/router/rollout_test.go
@@ -32,7 +32,7 @@
 func countRuns(rs *testsite.RouterSite, release string) int {
 	sum := 0
 	for n := 1; n <= 2; n++ {
-		sum += len(rs.Replicas[testsite.ReplicaID(testsite.PlainGroup, n, release)].Runs())
+		sum += len(rs.Replicas[testsite.ReplicaID(testsite.PlainService, n, release)].Runs())
 	}
 	return sum
 }
@@ -40,22 +40,22 @@
 // addRelease starts two plain replicas of release v2 with faults.
 func addRelease(rs *testsite.RouterSite, fa standin.ReplicaFaults) {
 	for n := 1; n <= 2; n++ {
-		rs.AddReplica(testsite.PlainGroup, n, "v2").Set(fa)
+		rs.AddReplica(testsite.PlainService, n, "v2").Set(fa)
 	}
 }
 
 func TestGoodReleaseIsCompletedInTime(t *testing.T) {
 	withSite(t, testsite.RouterOptions{Routers: 3, Plains: 2}, func(t *testing.T, rs *testsite.RouterSite) {
-		rs.OrderRollout(testsite.PlainGroup, "v2", rolloutLimit)
+		rs.OrderRollout(testsite.PlainService, "v2", rolloutLimit)
 		addRelease(rs, standin.ReplicaFaults{})
 		ordered := time.Now()
 		statuses := sendLoad(rs, rolloutLimit/2-time.Second, 3)
 		all := statuses[http.StatusOK]
 		qt.Assert(t, float64(countRuns(rs, "v2")) < 0.2*float64(all), qt.IsTrue, qt.Commentf("%d of %d", countRuns(rs, "v2"), all))
-		for rs.RolloutState(testsite.PlainGroup) != "completed" && time.Since(ordered) < rolloutLimit {
+		for rs.RolloutState(testsite.PlainService) != "completed" && time.Since(ordered) < rolloutLimit {
 			sendLoad(rs, 200*time.Millisecond, 3)
 		}
-		qt.Assert(t, rs.RolloutState(testsite.PlainGroup), qt.Equals, "completed")
+		qt.Assert(t, rs.RolloutState(testsite.PlainService), qt.Equals, "completed")
 		time.Sleep(time.Second)
 		before := countRuns(rs, "v1")
 		qt.Assert(t, sendLoad(rs, time.Second, 3)[http.StatusOK] > 50, qt.IsTrue)
@@ -71,7 +71,7 @@
 	for cut := range 4 {
 		t.Run(fmt.Sprint("without router ", cut), func(t *testing.T) {
 			withSite(t, testsite.RouterOptions{Routers: 5, Plains: 2}, func(t *testing.T, rs *testsite.RouterSite) {
-				rs.OrderRollout(testsite.PlainGroup, "v2", rolloutLimit)
+				rs.OrderRollout(testsite.PlainService, "v2", rolloutLimit)
 				addRelease(rs, standin.ReplicaFaults{Status: 500})
 				time.Sleep(time.Second)
 				for n := 1; n <= 5 && cut > 0; n++ {
@@ -80,7 +80,7 @@
 					}
 				}
 				statuses := sendLoad(rs, 8*time.Second, 5)
-				qt.Assert(t, rs.RolloutState(testsite.PlainGroup), qt.Equals, "rolled_back")
+				qt.Assert(t, rs.RolloutState(testsite.PlainService), qt.Equals, "rolled_back")
 				qt.Assert(t, countRuns(rs, "v2") < 50, qt.IsTrue, qt.Commentf("%d bad answers", countRuns(rs, "v2")))
 				qt.Assert(t, statuses[http.StatusOK] > 500, qt.IsTrue)
 				before := countRuns(rs, "v2")
@@ -96,19 +96,19 @@
 // roll-out because most of its time has passed.
 func TestElapsedTimeDoesNotCompleteRollout(t *testing.T) {
 	withSite(t, testsite.RouterOptions{Routers: 2, Plains: 2}, func(t *testing.T, rs *testsite.RouterSite) {
-		rs.OrderRollout(testsite.PlainGroup, "v2", rolloutLimit)
+		rs.OrderRollout(testsite.PlainService, "v2", rolloutLimit)
 		addRelease(rs, standin.ReplicaFaults{})
 		time.Sleep(rolloutLimit * 9 / 10)
 		for n := 1; n <= 2; n++ {
 			rs.KillRouter(n)
 			rs.StartRouter(n)
 		}
-		re := rs.Replicas[testsite.ReplicaID(testsite.PlainGroup, 1, "v2")]
+		re := rs.Replicas[testsite.ReplicaID(testsite.PlainService, 1, "v2")]
 		re.Set(standin.ReplicaFaults{Status: 500})
-		rs.Replicas[testsite.ReplicaID(testsite.PlainGroup, 2, "v2")].Set(standin.ReplicaFaults{Status: 500})
+		rs.Replicas[testsite.ReplicaID(testsite.PlainService, 2, "v2")].Set(standin.ReplicaFaults{Status: 500})
 		time.Sleep(time.Second)
 		sendLoad(rs, 5*time.Second, 2)
-		qt.Assert(t, rs.RolloutState(testsite.PlainGroup), qt.Equals, "rolled_back")
+		qt.Assert(t, rs.RolloutState(testsite.PlainService), qt.Equals, "rolled_back")
 		qt.Assert(t, countRuns(rs, "v2") < 50, qt.IsTrue, qt.Commentf("%d bad answers", countRuns(rs, "v2")))
 	})
 }
@@ -138,9 +138,9 @@
 		}
 		for round := range 24 {
 			if round == 2 {
-				rs.OrderRollout(testsite.EngineGroup, "v2", 200*time.Second)
-				rs.AddReplica(testsite.EngineGroup, 1, "v2")
-				rs.AddReplica(testsite.EngineGroup, 2, "v2")
+				rs.OrderRollout(testsite.EngineService, "v2", 200*time.Second)
+				rs.AddReplica(testsite.EngineService, 1, "v2")
+				rs.AddReplica(testsite.EngineService, 2, "v2")
 			}
 			for n := range 30 {
 				// Sessions start in different rounds and last four rounds each.
--- a/router/serve_test.go
+++ b/router/serve_test.go
@@ -210,7 +210,7 @@
 	for name, fa := range map[string]standin.ReplicaFaults{"torn": {Torn: true}, "crossed": {Crossed: "other"}, "failing": {Status: 500}, "refusing": {NotRun: true}, "silent": {Silent: true}, "unsigned": {Unsigned: true}} {
 		t.Run(name, func(t *testing.T) {
 			withSite(t, testsite.RouterOptions{Routers: 1, Plains: 2}, func(t *testing.T, rs *testsite.RouterSite) {
-				rs.Replicas[testsite.ReplicaID(testsite.PlainGroup, 1, "v1")].Set(fa)
+				rs.Replicas[testsite.ReplicaID(testsite.PlainService, 1, "v1")].Set(fa)
 				for n := range 6 {
 					an := do(rs, request{id: fmt.Sprint(n), path: testsite.SafeRoute + "x", method: http.MethodGet})
 					qt.Assert(t, an.status, qt.Equals, http.StatusOK)
--- a/testsite/caller.go
+++ b/testsite/caller.go
@@ -26,9 +26,9 @@
 	// Text is the content of the answer, Body all of it.
 	Text string
 	Body string
-	// Whole tells that the answer came to its end.
-	Whole  bool
-	Chunks int
+	// Complete tells that the answer came to its end.
+	Complete bool
+	Chunks   int
 }
 
 // Ran gives what the answer says of having been run.
@@ -67,8 +67,8 @@
 	return si.send(ca, http.MethodPost, "/v1/chat/completions", body)
 }
 
-// Desk calls the plain service through an entry.
-func (si *Site) Desk(ca Call, method, idempotencyKey, body string) Answer {
+// Checkout calls the plain service through an entry.
+func (si *Site) Checkout(ca Call, method, idempotencyKey, body string) Answer {
 	if ca.Header == nil {
 		ca.Header = map[string]string{}
 	}
@@ -99,7 +99,7 @@
 	for name, va := range ca.Header {
 		rq.Header.Set(name, va)
 	}
-	rs, err := si.Net.Of(Caller).UnpooledClient().Do(rq)
+	rs, err := si.Net.ForHost(Caller).UnpooledClient().Do(rq)
 	if err != nil {
 		return Answer{Err: err}
 	}
@@ -112,7 +112,7 @@
 	text, err := io.ReadAll(rs.Body)
 	an.Body, an.Err = string(text), err
 	an.Text = gjson.Get(an.Body, "choices.0.message.content").Str
-	an.Whole = err == nil && rs.StatusCode == http.StatusOK
+	an.Complete = err == nil && rs.StatusCode == http.StatusOK
 	return an
 }
 
@@ -125,7 +125,7 @@
 			continue
 		}
 		if data == "[DONE]" {
-			an.Whole = true
+			an.Complete = true
 			continue
 		}
 		if text := gjson.Get(data, "choices.0.delta.content").Str; text != "" {
@@ -139,8 +139,8 @@
 	an.Err = sc.Err()
 }
 
-// WholeText gives the text that a stand-in engine answers with.
-func WholeText(version string, tokens int) string {
+// EngineText gives the text that a stand-in engine answers with.
+func EngineText(version string, tokens int) string {
 	var sb strings.Builder
 	for n := range tokens {
 		fmt.Fprintf(&sb, "%s-%d ", version, n)
--- a/testsite/configuration.go
+++ b/testsite/configuration.go
@@ -61,15 +61,15 @@
 		Routes: []RouteConfiguration{
 			{
 				Name: "r-notes", Host: RouteHost, Prefix: EngineRoute, Kind: "streaming", TimeoutMS: 20_000, TargetLatencyMS: 1000,
-				Sizes: []string{SmallModel, LargeModel}, Service: EngineGroup, MaxAttempts: 3,
+				Sizes: []string{SmallModel, LargeModel}, Service: EngineService, MaxAttempts: 3,
 				SessionAffinity: true, StreamResume: true, TargetGapMS: 800,
 			},
-			{Name: "r-loans", Host: RouteHost, Prefix: UnsafeRoute, Kind: "unsafe", TimeoutMS: 800, TargetLatencyMS: 150, Priority: 2, Service: PlainGroup, MaxAttempts: 3},
-			{Name: "r-places", Host: RouteHost, Prefix: SafeRoute, Kind: "safe", TimeoutMS: 800, TargetLatencyMS: 150, Priority: 2, Service: PlainGroup, MaxAttempts: 2},
+			{Name: "r-loans", Host: RouteHost, Prefix: UnsafeRoute, Kind: "unsafe", TimeoutMS: 800, TargetLatencyMS: 150, Priority: 2, Service: PlainService, MaxAttempts: 3},
+			{Name: "r-places", Host: RouteHost, Prefix: SafeRoute, Kind: "safe", TimeoutMS: 800, TargetLatencyMS: 150, Priority: 2, Service: PlainService, MaxAttempts: 2},
 		},
 		Services: []ServiceConfiguration{
-			{Name: EngineGroup, HealthPath: "/health", MaxConnections: 370, Engine: &EngineConfiguration{Slots: 8, KVTokens: 484_470}},
-			{Name: PlainGroup, HealthPath: "/health", MaxConnections: 110},
+			{Name: EngineService, HealthPath: "/health", MaxConnections: 370, Engine: &EngineConfiguration{Slots: 8, KVTokens: 484_470}},
+			{Name: PlainService, HealthPath: "/health", MaxConnections: 110},
 		},
 		Limits:  LimitsConfiguration{MaxHeaderBytes: 16_384, MaxBodyBytes: 65_536, HeaderTimeoutMS: 3000, IdleTimeoutMS: 15_000},
 		Tenants: []TenantConfiguration{{Name: Tenant, APIKeys: []string{CallerKey}}},
--- a/testsite/network.go
+++ b/testsite/network.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// Of gives the network as a host sees it.
-func (nw *Network) Of(ho Host) network.Network {
+// ForHost gives the network as a host sees it.
+func (nw *Network) ForHost(ho Host) network.Network {
 	return network.Network{
 		Listen: func(address string) (net.Listener, error) { return nw.listen(ho, address) },
 		Dial: func(ctx context.Context, _, address string) (net.Conn, error) {
@@ -50,8 +50,8 @@
 	}
 }
 
-// Written counts the bytes that a host has sent so far.
-func (nw *Network) Written(ho Host) int64 {
+// BytesSent counts the bytes that a host has sent so far.
+func (nw *Network) BytesSent(ho Host) int64 {
 	nw.mu.Lock()
 	defer nw.mu.Unlock()
 	return nw.written[ho]
@@ -71,16 +71,16 @@
 	nw.each(link{from, to}, func(co *conn) { _ = co.Close() })
 }
 
-// Mend lets new connections come up on a cut link.
-func (nw *Network) Mend(from Host, to string) {
+// Restore lets new connections come up on a cut link.
+func (nw *Network) Restore(from Host, to string) {
 	nw.mu.Lock()
 	defer nw.mu.Unlock()
 	delete(nw.cut, link{from, to})
 }
 
-// Silence makes the open connections of a link carry nothing more, without an
+// Blackhole makes the open connections of a link carry nothing more, without an
 // end; new ones work.
-func (nw *Network) Silence(from Host, to string) {
+func (nw *Network) Blackhole(from Host, to string) {
 	nw.each(link{from, to}, (*conn).silence)
 }
 
--- a/testsite/policy.go
+++ b/testsite/policy.go
@@ -22,7 +22,7 @@
 		Record("cascade", "auto", `{"models":["m","large"],"quality_target":0.85,"rated_share":0.5}`),
 		Record("service", "desk", `{"cost_per_call":100,"timeout_ms":4000}`),
 		Record("organisation", "chest", fmt.Sprintf(`{"key_hashes":[%q],"allowed_models":["*"],"allowed_services":["desk"]}`, policy.HashKey(CallerKey))),
-		Record("organisation", "verse", fmt.Sprintf(`{"key_hashes":[%q],"allowed_models":["m"],"allowed_ranks":["standard"]}`, policy.HashKey(OtherKey))),
+		Record("organisation", "verse", fmt.Sprintf(`{"key_hashes":[%q],"allowed_models":["m"],"allowed_ranks":["standard"]}`, policy.HashKey(RestrictedKey))),
 		Record("operator", "ops", fmt.Sprintf(`{"key_hashes":[%q]}`, policy.HashKey(OperatorKey))),
 	}
 	for n := 1; n <= opt.Engines; n++ {
--- a/testsite/routers.go
+++ b/testsite/routers.go
@@ -24,17 +24,17 @@
 // The users' platform at a test site: its store, and the names of what is
 // configured there.
 const (
-	KVAddress    = "10.8.0.1:80"
-	RouteHost    = "drawers.example"
-	EngineRoute  = "/notes/"
-	UnsafeRoute  = "/loans/"
-	SafeRoute    = "/places/"
-	EngineGroup  = "scribes"
-	PlainGroup   = "desk"
-	Tenant       = "survey"
-	SmallModel   = "small"
-	LargeModel   = "large"
-	firstRelease = "v1"
+	KVAddress     = "10.8.0.1:80"
+	RouteHost     = "drawers.example"
+	EngineRoute   = "/notes/"
+	UnsafeRoute   = "/loans/"
+	SafeRoute     = "/places/"
+	EngineService = "scribes"
+	PlainService  = "desk"
+	Tenant        = "survey"
+	SmallModel    = "small"
+	LargeModel    = "large"
+	firstRelease  = "v1"
 )
 
 // RouterOptions describe a site of routers on the users' platform.
@@ -81,10 +81,10 @@
 	rs.Serve("kv", KVAddress, rs.Store.KVHandler())
 	rs.group.Every(100*time.Millisecond, func(context.Context) { rs.Store.ExpireLeases() })
 	for n := 1; n <= opt.Engines; n++ {
-		rs.AddReplica(EngineGroup, n, firstRelease)
+		rs.AddReplica(EngineService, n, firstRelease)
 	}
 	for n := 1; n <= opt.Plains; n++ {
-		rs.AddReplica(PlainGroup, n, firstRelease)
+		rs.AddReplica(PlainService, n, firstRelease)
 	}
 	if !opt.Unconfigured {
 		rs.Configure(nil)
@@ -100,7 +100,7 @@
 
 // Serve serves a stand-in on a host of its own.
 func (rs *RouterSite) Serve(ho Host, address string, ha http.Handler) {
-	li, err := rs.Net.Of(ho).Listen(address)
+	li, err := rs.Net.ForHost(ho).Listen(address)
 	if err != nil {
 		rs.tb.Fatal(err)
 	}
@@ -122,7 +122,7 @@
 // AddReplica starts a replica and registers it.
 func (rs *RouterSite) AddReplica(service string, n int, release string) *standin.Replica {
 	opt := rs.opt.Plain
-	if service == EngineGroup {
+	if service == EngineService {
 		opt = rs.opt.Engine
 	}
 	opt.ID = ReplicaID(service, n, release)
@@ -137,7 +137,7 @@
 func (rs *RouterSite) Register(service string, n int, release, state string) {
 	text := fmt.Sprintf(`{"service":%q,"address":%q,"zone":"zone-a","version":%q,"slots":8,"state":%q,"sequence":1`,
 		service, ReplicaAddress(service, n, release), release, state)
-	if service == EngineGroup {
+	if service == EngineService {
 		text += `,"models":[{"name":"small","version":1},{"name":"large","version":1}]`
 	}
 	rs.Store.Write("servers/"+ReplicaID(service, n, release), []byte(text+"}"))
@@ -207,7 +207,7 @@
 	if rs.opt.Log {
 		lo = event.NewLog(os.Stderr, &rpc.LogSection{Level: "debug"}, RouterName(n))
 	}
-	da, err := router.New(set, rs.Net.Of(ho), lo)
+	da, err := router.New(set, rs.Net.ForHost(ho), lo)
 	if err != nil {
 		rs.tb.Fatal(err)
 	}
@@ -228,7 +228,7 @@
 }
 
 // Client gives an HTTP client of a caller.
-func (rs *RouterSite) Client() *http.Client { return rs.Net.Of("caller").UnpooledClient() }
+func (rs *RouterSite) Client() *http.Client { return rs.Net.ForHost("caller").UnpooledClient() }
 
 // Ready asks a router whether it is ready.
 func (rs *RouterSite) Ready(n int) bool {
--- a/testsite/site.go
+++ b/testsite/site.go
@@ -37,8 +37,8 @@
 // CallerKey is the key of organisation "chest", which may use everything.
 const CallerKey = "chest-key"
 
-// OtherKey is the key of organisation "verse", which may use model "m" only.
-const OtherKey = "verse-key"
+// RestrictedKey is the key of organisation "verse", which may use model "m" only.
+const RestrictedKey = "verse-key"
 
 // OperatorKey is the key of operator "ops".
 const OperatorKey = "ops-key"
@@ -117,7 +117,7 @@
 
 // Serve serves a stand-in on a host of its own.
 func (si *Site) Serve(ho Host, address string, ha http.Handler) {
-	li, err := si.Net.Of(ho).Listen(address)
+	li, err := si.Net.ForHost(ho).Listen(address)
 	if err != nil {
 		si.tb.Fatal(err)
 	}
@@ -196,7 +196,7 @@
 	}
 	var es rpc.EntrySettings
 	si.load(name, text, &es)
-	da, err := entry.New(&es, si.Net.Of(Host(name)), si.log(name))
+	da, err := entry.New(&es, si.Net.ForHost(Host(name)), si.log(name))
 	if err != nil {
 		si.tb.Fatal(err)
 	}
@@ -237,7 +237,7 @@
 `, name, FailureDomain(n), n, n, n, StoreAddress, VMsAddress, RatingAddress, WeightsAddress)
 	var ss rpc.StewardSettings
 	si.load(name, text, &ss)
-	da, err := steward.New(&ss, si.Net.Of(Host(name)), si.log(name))
+	da, err := steward.New(&ss, si.Net.ForHost(Host(name)), si.log(name))
 	if err != nil {
 		si.tb.Fatal(err)
 	}
@@ -318,7 +318,7 @@
 // Client gives a store client on a host.
 func (si *Site) Client(ho Host) *store.Client {
 	return store.NewClient(store.Options{
-		URLs: []string{"http://" + StoreAddress}, Timeout: time.Second, WatchProgress: 2 * time.Second, Dial: si.Net.Of(ho).Dial,
+		URLs: []string{"http://" + StoreAddress}, Timeout: time.Second, WatchProgress: 2 * time.Second, Dial: si.Net.ForHost(ho).Dial,
 	})
 }
 
