--- a/testsite/caller.go
+++ b/testsite/caller.go
@@ -17,27 +17,31 @@
 	"tanagerpoint.example/tanager/entry"
 )
 
-// Answer is what a caller got.
+// Answer is the response that a caller received.
 type Answer struct {
-	// Err is set when the connection failed.
+	// Err is set when no response arrived or its body could not be read to the end.
 	Err    error
 	Status int
 	Header http.Header
-	// Text is the content of the answer, Body all of it.
+	// Text is the generated text of a chat completion.
 	Text string
+	// Body is the whole body; for a stream, its lines.
 	Body string
-	// Complete tells that the answer came to its end.
+	// Complete reports whether the answer arrived to its end: a stream with its
+	// [DONE] event, any other answer with status 200 and a body read to the end.
 	Complete bool
-	Chunks   int
+	// Chunks is the number of chunks with text in a stream.
+	Chunks int
 }
 
-// Ran gives what the answer says of having been run.
+// Ran returns the value of the X-Tanager-Ran header, by which an entry states
+// whether the request was run.
 func (an Answer) Ran() entry.Ran {
 	return entry.Ran(an.Header.Get(entry.HeaderRan))
 }
 
-// Call is a caller's request; the zero value asks entry-1 for a whole answer
-// of model "m".
+// Call describes a caller's request. The zero value asks entry-1 for an answer of
+// model "m" that is not streamed, with the key CallerKey.
 type Call struct {
 	Entry  int
 	Model  string
@@ -46,13 +50,14 @@
 	Prompt string
 	Stream bool
 	Header map[string]string
-	// OnChunk is called after each chunk of a stream.
+	// OnChunk is called after each event of a stream, except [DONE], with the number
+	// of chunks with text so far.
 	OnChunk func(n int)
-	// Context may end the call early.
+	// Context, when set, can cancel the call.
 	Context context.Context
 }
 
-// Chat asks an entry for a chat completion.
+// Chat requests a chat completion from an entry.
 func (si *Site) Chat(ca Call) Answer {
 	if ca.Model == "" {
 		ca.Model = "m"
@@ -67,7 +72,8 @@
 	return si.send(ca, http.MethodPost, "/v1/chat/completions", body)
 }
 
-// Checkout calls the plain service through an entry.
+// Checkout sends a check-out to the service "desk" through an entry. Without an
+// idempotencyKey the header is left out.
 func (si *Site) Checkout(ca Call, method, idempotencyKey, body string) Answer {
 	if ca.Header == nil {
 		ca.Header = map[string]string{}
@@ -78,9 +84,10 @@
 	return si.send(ca, method, "/v1/services/desk/checkout", body)
 }
 
-// Get reads a path of an entry.
+// Get sends a GET request for a path to an entry.
 func (si *Site) Get(ca Call, path string) Answer { return si.send(ca, http.MethodGet, path, "") }
 
+// send sends a request to an entry on a new connection, and reads the answer.
 func (si *Site) send(ca Call, method, path, body string) Answer {
 	if ca.Entry == 0 {
 		ca.Entry = 1
@@ -116,6 +123,7 @@
 	return an
 }
 
+// readStream reads a stream of server-sent events to its end.
 func (an *Answer) readStream(rd io.Reader, onChunk func(n int)) {
 	sc := bufio.NewScanner(rd)
 	for sc.Scan() {
@@ -139,7 +147,7 @@
 	an.Err = sc.Err()
 }
 
-// EngineText gives the text that a stand-in engine answers with.
+// EngineText returns the text of a stand-in engine's answer of so many tokens.
 func EngineText(version string, tokens int) string {
 	var sb strings.Builder
 	for n := range tokens {
@@ -148,7 +156,8 @@
 	return sb.String()
 }
 
-// Addresses asks an entry which entries to use.
+// Addresses returns the callers' addresses of the entries that entry-N lists under
+// /v1/entries, or nil when it does not answer.
 func (si *Site) Addresses(n int) []string {
 	an := si.Get(Call{Entry: n}, "/v1/entries")
 	var ads directory.Addresses
@@ -162,7 +171,7 @@
 	return out
 }
 
-// Bills reads the sealed bills.
+// Bills returns the sealed bills that are in the store.
 func (si *Site) Bills() bill.Listing {
 	cl := si.Client(Operator)
 	defer cl.Close()
@@ -175,7 +184,7 @@
 	return li
 }
 
-// State gives an entry's dump.
+// State returns the state dump of entry-N.
 func (si *Site) State(n int) entry.State {
 	return si.Entries[EntryName(n)].Dump().(entry.State)
 }
--- a/testsite/configuration.go
+++ b/testsite/configuration.go
@@ -1,7 +1,8 @@
 package testsite
 
-// Configuration is the operator's configuration of a test site, as the users'
-// platform has it.
+// Configuration is the document that the operator writes under the key op/config
+// of the users' platform. The routers take routes, services, limits and tenants
+// from it.
 type Configuration struct {
 	Version  int64                  `json:"version"`
 	Routes   []RouteConfiguration   `json:"routes"`
@@ -10,7 +11,8 @@
 	Tenants  []TenantConfiguration  `json:"tenants"`
 }
 
-// RouteConfiguration is one route.
+// RouteConfiguration describes a route. Requests for Host whose path begins with
+// Prefix belong to it.
 type RouteConfiguration struct {
 	Name            string   `json:"name"`
 	Host            string   `json:"host"`
@@ -27,7 +29,8 @@
 	TargetGapMS     int64    `json:"target_gap_ms,omitempty"`
 }
 
-// ServiceConfiguration is one service; Engine is nil for plain ones.
+// ServiceConfiguration describes a service. Engine is nil for a service that is not
+// a model engine.
 type ServiceConfiguration struct {
 	Name           string               `json:"name"`
 	HealthPath     string               `json:"health_path"`
@@ -35,13 +38,13 @@
 	Engine         *EngineConfiguration `json:"engine,omitempty"`
 }
 
-// EngineConfiguration is the size of a service's model replicas.
+// EngineConfiguration holds the capacity of each replica of a model engine.
 type EngineConfiguration struct {
 	Slots    int64 `json:"slots"`
 	KVTokens int64 `json:"kv_tokens"`
 }
 
-// LimitsConfiguration bounds requests and connections.
+// LimitsConfiguration holds the limits of callers' requests and connections.
 type LimitsConfiguration struct {
 	MaxHeaderBytes  int64 `json:"max_header_bytes"`
 	MaxBodyBytes    int64 `json:"max_body_bytes"`
@@ -49,14 +52,15 @@
 	IdleTimeoutMS   int64 `json:"idle_timeout_ms"`
 }
 
-// TenantConfiguration is one tenant and its keys.
+// TenantConfiguration holds the API keys of a tenant.
 type TenantConfiguration struct {
 	Name    string   `json:"name"`
 	APIKeys []string `json:"api_keys"`
 }
 
-// firstConfiguration gives the configuration that a site starts with.
-func firstConfiguration() *Configuration {
+// defaultConfiguration returns the configuration that RouterSite.Configure starts
+// from.
+func defaultConfiguration() *Configuration {
 	return &Configuration{
 		Routes: []RouteConfiguration{
 			{
--- a/testsite/network.go
+++ b/testsite/network.go
@@ -1,6 +1,8 @@
-// Package testsite brings up a whole site in one process for tests: stand-ins,
-// entries and stewards over connections in memory, whose links can be cut, go
-// silent, or end with their host. It works in virtual time (testing/synctest).
+// Package testsite runs a whole site in the process of a test: stand-ins for the
+// platform's services and for endpoints, with entries and stewards (Site) or routers
+// (RouterSite). They communicate by connections in memory. A test can cut a link,
+// drop its traffic or kill a host. Sites work under the virtual time of
+// testing/synctest.
 package testsite
 
 import (
@@ -13,34 +15,36 @@
 	"tanagerpoint.example/tanager/network"
 )
 
-// Host names a process on the network.
+// Host names a host on the network. Each process of a site is a host of its own.
 type Host string
 
-// Network joins hosts by connections in memory.
+// Network connects hosts by connections in memory.
+//
+// mu guards all fields. conns holds both ends of each open connection.
 type Network struct {
 	mu        sync.Mutex
 	listeners map[string]*listener
 	conns     map[*conn]bool
 	cut       map[link]bool
-	dead      map[Host]bool
-	written   map[Host]int64
+	killed    map[Host]bool
+	bytesSent map[Host]int64
 }
 
-// link is a direction from a host to an address.
+// link identifies the connections that a host opens to an address.
 type link struct {
 	from Host
 	to   string
 }
 
-// NewNetwork gives a network without hosts.
+// NewNetwork returns a network without listeners or connections.
 func NewNetwork() *Network {
 	return &Network{
 		listeners: map[string]*listener{}, conns: map[*conn]bool{},
-		cut: map[link]bool{}, dead: map[Host]bool{}, written: map[Host]int64{},
+		cut: map[link]bool{}, killed: map[Host]bool{}, bytesSent: map[Host]int64{},
 	}
 }
 
-// ForHost gives the network as a host sees it.
+// ForHost returns the functions with which a host listens and dials.
 func (nw *Network) ForHost(ho Host) network.Network {
 	return network.Network{
 		Listen: func(address string) (net.Listener, error) { return nw.listen(ho, address) },
@@ -50,71 +54,75 @@
 	}
 }
 
-// BytesSent counts the bytes that a host has sent so far.
+// BytesSent returns the number of bytes that a host has written to connections so
+// far. Bytes that Blackhole dropped are included.
 func (nw *Network) BytesSent(ho Host) int64 {
 	nw.mu.Lock()
 	defer nw.mu.Unlock()
-	return nw.written[ho]
+	return nw.bytesSent[ho]
 }
 
-func (nw *Network) count(ho Host, n int) {
+func (nw *Network) addSent(ho Host, n int) {
 	nw.mu.Lock()
 	defer nw.mu.Unlock()
-	nw.written[ho] += int64(n)
+	nw.bytesSent[ho] += int64(n)
 }
 
-// Cut breaks a link: open connections end, and no new ones come up.
+// Cut closes the open connections of a link, and refuses new ones until Restore.
 func (nw *Network) Cut(from Host, to string) {
 	nw.mu.Lock()
 	nw.cut[link{from, to}] = true
 	nw.mu.Unlock()
-	nw.each(link{from, to}, func(co *conn) { _ = co.Close() })
+	nw.eachConn(link{from, to}, func(co *conn) { _ = co.Close() })
 }
 
-// Restore lets new connections come up on a cut link.
+// Restore allows new connections on a link that was cut.
 func (nw *Network) Restore(from Host, to string) {
 	nw.mu.Lock()
 	defer nw.mu.Unlock()
 	delete(nw.cut, link{from, to})
 }
 
-// Blackhole makes the open connections of a link carry nothing more, without an
-// end; new ones work.
+// Blackhole drops all further data, in both directions, on the open connections of a
+// link and leaves them open, as a firewall that lost its state does. New connections
+// are not affected.
 func (nw *Network) Blackhole(from Host, to string) {
-	nw.each(link{from, to}, (*conn).silence)
+	nw.eachConn(link{from, to}, (*conn).blackhole)
 }
 
-// Kill ends a host's connections and listeners at once; it reaches nobody and
-// nobody reaches it.
+// Kill closes all connections and listeners of a host at once. Until Revive, the host
+// cannot dial.
 func (nw *Network) Kill(ho Host) {
 	nw.mu.Lock()
-	nw.dead[ho] = true
-	var ends []interface{ Close() error }
+	nw.killed[ho] = true
+	var closers []interface{ Close() error }
 	for address, li := range nw.listeners {
 		if li.host == ho {
 			delete(nw.listeners, address)
-			ends = append(ends, li)
+			closers = append(closers, li)
 		}
 	}
 	for co := range nw.conns {
 		if co.link.from == ho || co.server == ho {
-			ends = append(ends, co)
+			closers = append(closers, co)
 		}
 	}
 	nw.mu.Unlock()
-	for _, en := range ends {
-		_ = en.Close()
+	for _, cl := range closers {
+		_ = cl.Close()
 	}
 }
 
-// Revive lets a killed host's name be used by a new process.
+// Revive allows a new process to use the name of a killed host.
 func (nw *Network) Revive(ho Host) {
 	nw.mu.Lock()
 	defer nw.mu.Unlock()
-	delete(nw.dead, ho)
+	delete(nw.killed, ho)
 }
 
-func (nw *Network) each(li link, fn func(co *conn)) {
+// eachConn calls fn for both ends of each open connection of a link, without holding
+// mu.
+func (nw *Network) eachConn(li link, fn func(co *conn)) {
 	nw.mu.Lock()
 	var found []*conn
 	for co := range nw.conns {
@@ -134,7 +142,7 @@
 	if _, ok := nw.listeners[address]; ok {
 		return nil, eris.Errorf("address %s is in use", address)
 	}
-	li := &listener{network: nw, host: ho, address: address, accepted: make(chan net.Conn), closed: make(chan struct{})}
+	li := &listener{network: nw, host: ho, address: address, incoming: make(chan net.Conn), closed: make(chan struct{})}
 	nw.listeners[address] = li
 	return li, nil
 }
@@ -142,20 +150,20 @@
 func (nw *Network) dial(ctx context.Context, from Host, address string) (net.Conn, error) {
 	nw.mu.Lock()
 	li, ok := nw.listeners[address]
-	refused := !ok || nw.dead[from] || nw.cut[link{from, address}]
+	refused := !ok || nw.killed[from] || nw.cut[link{from, address}]
 	nw.mu.Unlock()
 	if refused {
 		return nil, eris.Errorf("dial %s: connection refused", address)
 	}
-	near, far := net.Pipe()
-	pair := &pair{}
-	client := &conn{Conn: near, network: nw, link: link{from, address}, server: li.host, owner: from, pair: pair}
-	server := &conn{Conn: far, network: nw, link: link{from, address}, server: li.host, owner: li.host, pair: pair}
+	clientEnd, serverEnd := net.Pipe()
+	cs := &connState{}
+	client := &conn{Conn: clientEnd, network: nw, link: link{from, address}, server: li.host, local: from, state: cs}
+	server := &conn{Conn: serverEnd, network: nw, link: link{from, address}, server: li.host, local: li.host, state: cs}
 	nw.mu.Lock()
 	nw.conns[client], nw.conns[server] = true, true
 	nw.mu.Unlock()
 	select {
-	case li.accepted <- server:
+	case li.incoming <- server:
 		return client, nil
 	case <-li.closed:
 	case <-ctx.Done():
@@ -165,12 +173,12 @@
 	return nil, eris.Errorf("dial %s: connection refused", address)
 }
 
-// listener accepts connections in memory.
+// listener accepts connections that Network.dial opens.
 type listener struct {
 	network  *Network
 	host     Host
 	address  string
-	accepted chan net.Conn
+	incoming chan net.Conn
 	closed   chan struct{}
 	once     sync.Once
 }
@@ -178,7 +186,7 @@
 // Accept implements net.Listener.
 func (li *listener) Accept() (net.Conn, error) {
 	select {
-	case co := <-li.accepted:
+	case co := <-li.incoming:
 		return co, nil
 	case <-li.closed:
 		return nil, net.ErrClosed
@@ -206,10 +214,10 @@
 func (ad address) Network() string { return "memory" }
 func (ad address) String() string  { return string(ad) }
 
-// pair is what both ends of a connection share.
-type pair struct {
-	mu     sync.Mutex
-	silent bool
+// connState is shared by the two ends of a connection.
+type connState struct {
+	mu         sync.Mutex
+	blackholed bool
 }
 
 // conn is one end of a connection.
@@ -217,31 +225,31 @@
 	net.Conn
 	network *Network
 	link    link
-	server  Host
-	// owner is the host at this end.
-	owner Host
-	pair  *pair
+	// server is the host that accepted the connection, local the host at this end.
+	server Host
+	local  Host
+	state  *connState
 }
 
-func (co *conn) silence() {
-	co.pair.mu.Lock()
-	defer co.pair.mu.Unlock()
-	co.pair.silent = true
+func (co *conn) blackhole() {
+	co.state.mu.Lock()
+	defer co.state.mu.Unlock()
+	co.state.blackholed = true
 }
 
-// Write drops what is written on a silent connection.
+// Write reports success without sending anything after Blackhole.
 func (co *conn) Write(buf []byte) (int, error) {
-	co.pair.mu.Lock()
-	silent := co.pair.silent
-	co.pair.mu.Unlock()
-	co.network.count(co.owner, len(buf))
-	if silent {
+	co.state.mu.Lock()
+	dropped := co.state.blackholed
+	co.state.mu.Unlock()
+	co.network.addSent(co.local, len(buf))
+	if dropped {
 		return len(buf), nil
 	}
 	return co.Conn.Write(buf)
 }
 
-// Close ends the connection. The other end of a silent one hears nothing.
+// Close closes this end. The other end then reads io.EOF, also after Blackhole.
 func (co *conn) Close() error {
 	co.network.mu.Lock()
 	delete(co.network.conns, co)
--- a/testsite/policy.go
+++ b/testsite/policy.go
@@ -6,9 +6,10 @@
 	"tanagerpoint.example/tanager/policy"
 )
 
-// basePolicy gives the records of a test site: ranks urgent, standard and
-// bulk; model "m" with versions "m-1" and "m-2", model "large" with version
-// "large-1"; cascade "auto"; service "desk"; and its endpoints.
+// basePolicy returns the policy records that every Site starts with: the ranks
+// urgent, standard and bulk; model "m" with versions "m-1" and "m-2", and model
+// "large" with version "large-1"; cascade "auto"; service "desk"; two organisations
+// and an operator; and the endpoints of the models and of the service.
 func basePolicy(opt Options) []string {
 	out := []string{
 		Record("rank", "urgent", `{"order":0,"deadline_ms":10000,"floor":0.2,"engine_priority":0}`),
@@ -35,14 +36,15 @@
 	return out
 }
 
-// EngineRecord gives the record of engine-N; more is added to its spec.
-func EngineRecord(n int, more string) string {
+// EngineRecord returns the endpoint record of engine-N. extraFields is JSON that is
+// added to the spec, such as `,"draining":true`.
+func EngineRecord(n int, extraFields string) string {
 	return Record("endpoint", fmt.Sprintf("engine-%d", n), fmt.Sprintf(
 		`{"kind":"ENGINE","url":"http://%s","failure_domain":%q,"versions":["m-1","m-2","large-1"],"slots":8,"echoes_request_id":true%s}`,
-		EngineAddress(n), FailureDomain(n), more))
+		EngineAddress(n), FailureDomain(n), extraFields))
 }
 
-// Record gives a policy record's text.
+// Record returns the JSON text of a policy record. spec is JSON.
 func Record(kind, id, spec string) string {
 	return fmt.Sprintf(`{"schema_version":2,"kind":%q,"id":%q,"spec":%s}`, kind, id, spec)
 }
--- a/testsite/routers.go
+++ b/testsite/routers.go
@@ -21,36 +21,41 @@
 	"tanagerpoint.example/tanager/worker"
 )
 
-// The users' platform at a test site: its store, and the names of what is
-// configured there.
+// The address of the store of the users' platform, and the names in its default
+// configuration. The constants of routes are path prefixes under RouteHost; those of
+// models are the sizes that the engine route may use.
 const (
-	KVAddress     = "10.8.0.1:80"
-	RouteHost     = "drawers.example"
-	EngineRoute   = "/notes/"
-	UnsafeRoute   = "/loans/"
-	SafeRoute     = "/places/"
-	EngineService = "scribes"
-	PlainService  = "desk"
-	Tenant        = "survey"
-	SmallModel    = "small"
-	LargeModel    = "large"
-	firstRelease  = "v1"
+	KVAddress      = "10.8.0.1:80"
+	RouteHost      = "drawers.example"
+	EngineRoute    = "/notes/"
+	UnsafeRoute    = "/loans/"
+	SafeRoute      = "/places/"
+	EngineService  = "scribes"
+	PlainService   = "desk"
+	Tenant         = "survey"
+	SmallModel     = "small"
+	LargeModel     = "large"
+	initialRelease = "v1"
 )
 
-// RouterOptions describe a site of routers on the users' platform.
+// RouterOptions describe a RouterSite.
 type RouterOptions struct {
 	Routers int
-	// Engines and Plains are the replicas of the two services.
+	// Engines and Plains are the numbers of replicas of EngineService and
+	// PlainService.
 	Engines, Plains int
-	Engine          standin.ReplicaOptions
-	Plain           standin.ReplicaOptions
-	// Unconfigured leaves the platform without a configuration.
+	// Engine and Plain are the options of these replicas. An Engine without events
+	// is replaced by a default.
+	Engine standin.ReplicaOptions
+	Plain  standin.ReplicaOptions
+	// Unconfigured starts the site without a configuration in the store.
 	Unconfigured bool
-	// Log shows the routers' logs.
+	// Log writes the routers' logs to standard error.
 	Log bool
 }
 
-// RouterSite is routers before replicas on the users' platform, in one process.
+// RouterSite runs routers, the replicas to which they forward requests, and the store
+// of the users' platform, in one process.
 type RouterSite struct {
 	tb       testing.TB
 	opt      RouterOptions
@@ -64,8 +69,8 @@
 	version  int64
 }
 
-// NewRouterSite brings a site up and waits until every router is ready. Close
-// ends it.
+// NewRouterSite starts a site and, unless it is unconfigured, blocks until every
+// router is ready. Close stops it.
 func NewRouterSite(tb testing.TB, opt RouterOptions) *RouterSite {
 	gin.SetMode(gin.ReleaseMode)
 	if opt.Engine.Events == 0 {
@@ -81,10 +86,10 @@
 	rs.Serve("kv", KVAddress, rs.Store.KVHandler())
 	rs.group.Every(100*time.Millisecond, func(context.Context) { rs.Store.ExpireLeases() })
 	for n := 1; n <= opt.Engines; n++ {
-		rs.AddReplica(EngineService, n, firstRelease)
+		rs.AddReplica(EngineService, n, initialRelease)
 	}
 	for n := 1; n <= opt.Plains; n++ {
-		rs.AddReplica(PlainService, n, firstRelease)
+		rs.AddReplica(PlainService, n, initialRelease)
 	}
 	if !opt.Unconfigured {
 		rs.Configure(nil)
@@ -98,7 +103,7 @@
 	return rs
 }
 
-// Serve serves a stand-in on a host of its own.
+// Serve serves a stand-in at an address, on a host of its own.
 func (rs *RouterSite) Serve(ho Host, address string, ha http.Handler) {
 	li, err := rs.Net.ForHost(ho).Listen(address)
 	if err != nil {
@@ -109,17 +114,17 @@
 	rs.group.Go(func(context.Context) { _ = sv.Serve(li) })
 }
 
-// ReplicaID names a replica of a service and release.
+// ReplicaID returns the id of replica N of a service and release.
 func ReplicaID(service string, n int, release string) string {
 	return fmt.Sprintf("i-%s-%d-%s", service, n, release)
 }
 
-// ReplicaAddress is where a replica listens.
+// ReplicaAddress returns the address at which a replica listens.
 func ReplicaAddress(service string, n int, release string) string {
 	return fmt.Sprintf("10.%d.%d.%d:80", 20+len(service), len(release)+int(release[len(release)-1]), n)
 }
 
-// AddReplica starts a replica and registers it.
+// AddReplica starts a replica and registers it as ready.
 func (rs *RouterSite) AddReplica(service string, n int, release string) *standin.Replica {
 	opt := rs.opt.Plain
 	if service == EngineService {
@@ -133,7 +138,8 @@
 	return re
 }
 
-// Register writes what a replica says of itself.
+// Register writes a replica's registration to the store, with a state such as "ready"
+// or "draining".
 func (rs *RouterSite) Register(service string, n int, release, state string) {
 	text := fmt.Sprintf(`{"service":%q,"address":%q,"zone":"zone-a","version":%q,"slots":8,"state":%q,"sequence":1`,
 		service, ReplicaAddress(service, n, release), release, state)
@@ -143,15 +149,16 @@
 	rs.Store.Write("servers/"+ReplicaID(service, n, release), []byte(text+"}"))
 }
 
-// Unregister removes a replica's entry; the replica goes on.
+// Unregister deletes a replica's registration. The replica continues to run.
 func (rs *RouterSite) Unregister(service string, n int, release string) {
 	rs.Store.Write("servers/"+ReplicaID(service, n, release), nil)
 }
 
-// Configure writes the operator's configuration, after change has changed it.
+// Configure writes the default configuration, with the modifications of change if it
+// is not nil, as the operator and under a new version.
 func (rs *RouterSite) Configure(change func(co *Configuration)) {
 	rs.version++
-	co := firstConfiguration()
+	co := defaultConfiguration()
 	co.Version = rs.version
 	if change != nil {
 		change(co)
@@ -163,30 +170,32 @@
 	rs.Store.Write("op/config", out)
 }
 
-// OrderRollout writes the operator's order to roll a release out.
+// OrderRollout writes the operator's order to roll out a release. limit is the time
+// allowed for it.
 func (rs *RouterSite) OrderRollout(service, release string, limit time.Duration) {
 	rs.Store.Write("op/rollout/"+service, fmt.Appendf(nil, `{"service":%q,"target":%q,"duration_s":%g}`, service, release, limit.Seconds()))
 }
 
-// RolloutState gives what the routers report of a roll-out.
+// RolloutState returns the state of a service's roll-out that the routers report in
+// the store, or "" without a report.
 func (rs *RouterSite) RolloutState(service string) string {
-	var st struct {
+	var status struct {
 		State string `json:"state"`
 	}
-	if json.Unmarshal(rs.Store.Value("status/rollout/"+service), &st) != nil {
+	if json.Unmarshal(rs.Store.Value("status/rollout/"+service), &status) != nil {
 		return ""
 	}
-	return st.State
+	return status.State
 }
 
-// RouterName is the host of a router, RouterAddress where it listens.
+// RouterName returns the name and host of router-N.
 func RouterName(n int) string { return fmt.Sprintf("router-%d", n) }
 
-// RouterAddress is where a router listens: for callers at port 80, for
-// readiness at 81, the directory at 82, peers at 83.
+// RouterAddress returns the address of a port of router-N. Routers listen at port 80
+// for callers, 81 for readiness, 82 for the directory, 83 for peers and 84 for admin.
 func RouterAddress(n, port int) string { return fmt.Sprintf("10.9.0.%d:%d", n, port) }
 
-// StartRouter starts a router.
+// StartRouter starts router-N, or starts it again after KillRouter.
 func (rs *RouterSite) StartRouter(n int) {
 	rs.tb.Helper()
 	ho := Host(RouterName(n))
@@ -217,7 +226,8 @@
 	rs.Routers[n] = da
 }
 
-// KillRouter ends a router at once: its connections break, nothing is finished.
+// KillRouter closes all connections of router-N at once, as a crash does, and stops
+// it.
 func (rs *RouterSite) KillRouter(n int) {
 	rs.Net.Kill(Host(RouterName(n)))
 	da := rs.Routers[n]
@@ -227,10 +237,10 @@
 	da.Close(ctx)
 }
 
-// Client gives an HTTP client of a caller.
+// Client returns the HTTP client of a caller. It does not reuse connections.
 func (rs *RouterSite) Client() *http.Client { return rs.Net.ForHost("caller").UnpooledClient() }
 
-// Ready asks a router whether it is ready.
+// Ready reports whether router-N answers that it is ready.
 func (rs *RouterSite) Ready(n int) bool {
 	rq, err := http.NewRequest(http.MethodGet, "http://"+RouterAddress(n, 81)+"/v1/ready", nil)
 	if err != nil {
@@ -244,7 +254,7 @@
 	return res.StatusCode == http.StatusOK
 }
 
-// AllReady asks whether every router that the site began with is ready.
+// AllReady reports whether every router with which the site was started is ready.
 func (rs *RouterSite) AllReady() bool {
 	for n := 1; n <= rs.opt.Routers; n++ {
 		if !rs.Ready(n) {
@@ -254,14 +264,14 @@
 	return true
 }
 
-// Eventually waits until something holds, and fails the test when it does not
-// within a limit. It gives the time that passed.
+// Eventually blocks until a condition holds and returns how long that took. It fails
+// the test when the condition does not hold within limit.
 func (rs *RouterSite) Eventually(limit time.Duration, what string, holds func() bool) time.Duration {
 	rs.tb.Helper()
 	return eventually(rs.tb, limit, what, holds)
 }
 
-// Close ends the site.
+// Close stops the site.
 func (rs *RouterSite) Close() {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
--- a/testsite/site.go
+++ b/testsite/site.go
@@ -26,7 +26,7 @@
 	"tanagerpoint.example/tanager/worker"
 )
 
-// Addresses of the platform's stand-ins.
+// Addresses of the stand-ins for the platform's services.
 const (
 	StoreAddress   = "10.0.0.1:80"
 	VMsAddress     = "10.0.0.2:80"
@@ -34,39 +34,45 @@
 	WeightsAddress = "10.0.0.4:80"
 )
 
-// CallerKey is the key of organisation "chest", which may use everything.
+// CallerKey is the API key of organisation "chest", which may use all models and
+// services.
 const CallerKey = "chest-key"
 
-// RestrictedKey is the key of organisation "verse", which may use model "m" only.
+// RestrictedKey is the API key of organisation "verse", which may use only model "m"
+// and rank "standard".
 const RestrictedKey = "verse-key"
 
-// OperatorKey is the key of operator "ops".
+// OperatorKey is the API key of operator "ops".
 const OperatorKey = "ops-key"
 
-// Host names.
+// Hosts from which tests send requests: Operator to the store, Caller to entries.
 const (
 	Operator Host = "operator"
 	Caller   Host = "caller"
 )
 
-// Options set a site.
+// Options describe a Site.
 type Options struct {
 	Entries  int
 	Stewards int
 	Engines  int
 	Plains   int
-	// Engine is every engine's speed. The zero value is a fast one.
+	// Engine holds the options of every engine. Without slots it is replaced by a
+	// default of a fast engine.
 	Engine standin.EngineOptions
-	// Records are added to the policy, and replace its records.
+	// Records are policy records that are added to the base policy. They replace its
+	// records of the same kind and id.
 	Records []string
-	// EntrySettings are lines added to the entries' settings, by section.
+	// EntrySettings are lines that are added to the entries' settings files, by
+	// section.
 	EntrySettings map[string]string
-	VMLag         time.Duration
-	// Log shows the daemons' logs.
+	// VMLag is the delay after which the VM list shows a change.
+	VMLag time.Duration
+	// Log writes the daemons' logs to standard error.
 	Log bool
 }
 
-// Site is a site in one process.
+// Site runs entries, stewards, endpoints and the platform's services in one process.
 type Site struct {
 	tb       testing.TB
 	opt      Options
@@ -84,8 +90,8 @@
 	dir      string
 }
 
-// New brings up a site and waits until every entry has the policy. Close ends
-// it.
+// New starts a site and blocks until every entry has the policy and knows the other
+// daemons. Close stops it.
 func New(tb testing.TB, opt Options) *Site {
 	gin.SetMode(gin.ReleaseMode)
 	if opt.Engine.Slots == 0 {
@@ -115,7 +121,7 @@
 	return si
 }
 
-// Serve serves a stand-in on a host of its own.
+// Serve serves a stand-in at an address, on a host of its own.
 func (si *Site) Serve(ho Host, address string, ha http.Handler) {
 	li, err := si.Net.ForHost(ho).Listen(address)
 	if err != nil {
@@ -140,31 +146,31 @@
 	}
 }
 
-// EngineAddress gives the address of engine-N.
+// EngineAddress returns the address of engine-N.
 func EngineAddress(n int) string { return fmt.Sprintf("10.1.0.%d:80", n) }
 
-// PlainAddress gives the address of desk-N.
+// PlainAddress returns the address of desk-N.
 func PlainAddress(n int) string { return fmt.Sprintf("10.2.0.%d:80", n) }
 
-// EntryAddress gives the callers' address of entry-N.
+// EntryAddress returns the callers' address of entry-N.
 func EntryAddress(n int) string { return fmt.Sprintf("10.3.0.%d:80", n) }
 
-// PeerAddress gives the peers' address of entry-N.
+// PeerAddress returns the peers' address of entry-N.
 func PeerAddress(n int) string { return fmt.Sprintf("10.3.0.%d:81", n) }
 
-// AdminAddress gives the admin address of entry-N.
+// AdminAddress returns the admin address of entry-N.
 func AdminAddress(n int) string { return fmt.Sprintf("10.3.0.%d:82", n) }
 
-// StewardAddress gives the peers' address of steward-N.
+// StewardAddress returns the peers' address of steward-N.
 func StewardAddress(n int) string { return fmt.Sprintf("10.4.0.%d:81", n) }
 
-// EntryName gives the name and host of entry-N.
+// EntryName returns the name and host of entry-N.
 func EntryName(n int) string { return fmt.Sprintf("entry-%d", n) }
 
-// StewardName gives the name and host of steward-N.
+// StewardName returns the name and host of steward-N.
 func StewardName(n int) string { return fmt.Sprintf("steward-%d", n) }
 
-func (si *Site) log(name string) *event.Log {
+func (si *Site) newLog(name string) *event.Log {
 	if !si.opt.Log {
 		return event.Discard()
 	}
@@ -195,8 +201,8 @@
 		text += "[" + section + "]\n" + lines + "\n"
 	}
 	var es rpc.EntrySettings
-	si.load(name, text, &es)
-	da, err := entry.New(&es, si.Net.ForHost(Host(name)), si.log(name))
+	si.loadSettings(name, text, &es)
+	da, err := entry.New(&es, si.Net.ForHost(Host(name)), si.newLog(name))
 	if err != nil {
 		si.tb.Fatal(err)
 	}
@@ -207,12 +213,12 @@
 	si.VMs.Put(vm.VM{ID: vm.ID(name), Role: vm.RoleEntry, State: vm.Live, Address: PeerAddress(n)})
 }
 
-// FailureDomain gives the failure domain of VM N: there are three.
+// FailureDomain returns the failure domain of VM N, one of three.
 func FailureDomain(n int) policy.FailureDomain {
 	return policy.FailureDomain(fmt.Sprintf("fd-%d", n%3))
 }
 
-// StartSteward starts steward-N.
+// StartSteward starts steward-N, or starts it again after KillSteward.
 func (si *Site) StartSteward(n int) {
 	name := StewardName(n)
 	si.Net.Revive(Host(name))
@@ -236,8 +242,8 @@
 loads_per_minute = 600
 `, name, FailureDomain(n), n, n, n, StoreAddress, VMsAddress, RatingAddress, WeightsAddress)
 	var ss rpc.StewardSettings
-	si.load(name, text, &ss)
-	da, err := steward.New(&ss, si.Net.ForHost(Host(name)), si.log(name))
+	si.loadSettings(name, text, &ss)
+	da, err := steward.New(&ss, si.Net.ForHost(Host(name)), si.newLog(name))
 	if err != nil {
 		si.tb.Fatal(err)
 	}
@@ -247,7 +253,7 @@
 	si.Stewards[name] = da
 }
 
-func (si *Site) load(name, text string, into proto.Message) {
+func (si *Site) loadSettings(name, text string, into proto.Message) {
 	file := filepath.Join(si.dir, name+".ini")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		si.tb.Fatal(err)
@@ -257,32 +263,35 @@
 	}
 }
 
-// KillEntry ends entry-N at once, with whatever it had in memory.
+// KillEntry closes all connections of entry-N at once, as a crash does. Its state in
+// memory is lost.
 func (si *Site) KillEntry(n int) {
 	name := EntryName(n)
 	si.Net.Kill(Host(name))
 	da := si.Entries[name]
 	delete(si.Entries, name)
-	si.end(da)
+	si.closeDaemon(da)
 }
 
-// KillSteward ends steward-N at once.
+// KillSteward closes all connections of steward-N at once, as a crash does.
 func (si *Site) KillSteward(n int) {
 	name := StewardName(n)
 	si.Net.Kill(Host(name))
 	da := si.Stewards[name]
 	delete(si.Stewards, name)
-	si.end(da)
+	si.closeDaemon(da)
 }
 
-// end closes a daemon that reaches nobody.
-func (si *Site) end(da interface{ Close(ctx context.Context) }) {
+// closeDaemon stops, in the background and without a grace period, a daemon whose
+// host was killed.
+func (si *Site) closeDaemon(da interface{ Close(ctx context.Context) }) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	si.group.Go(func(context.Context) { da.Close(ctx) })
 }
 
-// WaitReady waits until every entry has the policy and hears of the others.
+// WaitReady blocks until every entry has the policy and knows the other daemons as
+// members.
 func (si *Site) WaitReady() {
 	si.Eventually(20*time.Second, "entries ready", func() bool {
 		for _, da := range si.Entries {
@@ -296,8 +305,8 @@
 	time.Sleep(500 * time.Millisecond)
 }
 
-// Eventually waits until a condition holds, and fails the test when it does
-// not within a limit. It gives the time that passed.
+// Eventually blocks until a condition holds and returns how long that took. It fails
+// the test when the condition does not hold within limit.
 func (si *Site) Eventually(limit time.Duration, what string, holds func() bool) time.Duration {
 	si.tb.Helper()
 	return eventually(si.tb, limit, what, holds)
@@ -308,27 +317,28 @@
 	started := time.Now()
 	for !holds() {
 		if time.Since(started) > limit {
-			tb.Fatalf("not within %s: %s", limit, what)
+			tb.Fatalf("condition not met within %s: %s", limit, what)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	return time.Since(started)
 }
 
-// Client gives a store client on a host.
+// Client returns a client of the store for a host.
 func (si *Site) Client(ho Host) *store.Client {
 	return store.NewClient(store.Options{
 		URLs: []string{"http://" + StoreAddress}, Timeout: time.Second, WatchProgress: 2 * time.Second, Dial: si.Net.ForHost(ho).Dial,
 	})
 }
 
-// Writer gives an operator's writer of records, and its store client.
+// Writer returns an operator's writer of policy records for a host, and its store
+// client, which the caller closes.
 func (si *Site) Writer(ho Host) (*configuration.Writer, *store.Client) {
 	cl := si.Client(ho)
 	return configuration.NewWriter(configuration.Keys{Root: "tanager/"}, cl), cl
 }
 
-// Apply writes records as an operator, and gives the revision.
+// Apply writes policy records as an operator, and returns their revision.
 func (si *Site) Apply(texts ...string) store.Revision {
 	si.tb.Helper()
 	rs, err := si.TryApply(Operator, texts...)
@@ -338,7 +348,8 @@
 	return rs.Revision
 }
 
-// TryApply writes records as an operator on a host.
+// TryApply writes policy records as an operator on a host, in one change. Of several
+// texts with the same key the last one counts.
 func (si *Site) TryApply(ho Host, texts ...string) (configuration.Result, error) {
 	wr, cl := si.Writer(ho)
 	defer cl.Close()
@@ -361,7 +372,7 @@
 	return wr.Apply(ctx, rq)
 }
 
-// Close ends the site.
+// Close stops the site.
 func (si *Site) Close() {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -378,6 +389,7 @@
 	si.Net.closeAll()
 }
 
+// closeAll closes all connections.
 func (nw *Network) closeAll() {
 	nw.mu.Lock()
 	var all []*conn
