--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -1,6 +1,6 @@
-// Package capacity_test measures the slopes that docs/CAPACITY.md is worked
-// out from: time, memory and bytes against daemons, replicas, records and
-// requests.
+// Package capacity_test measures the figures from which docs/CAPACITY.md
+// extrapolates: how time, memory and network traffic grow with the number of daemons,
+// replicas, records and requests.
 package capacity_test
 
 import (
@@ -27,8 +27,9 @@
 	"tanagerpoint.example/tanager/store"
 )
 
-// members publishes n members' states on a group's board.
-func members(gr *peer.Group, n int) {
+// publishMembers publishes the states of n members through a group, each with a new
+// sequence number.
+func publishMembers(gr *peer.Group, n int) {
 	for i := range n {
 		me := &rpc.Member{
 			Vm: fmt.Sprintf("np-central-%d", i), Role: peer.RoleEntry, Incarnation: "01M8ZDYG1CVNSVXNP0W41AC5YR", FailureDomain: "np-central-a",
@@ -38,6 +39,7 @@
 	}
 }
 
+// newGroup returns a group of peers with one member, and the server of its calls.
 func newGroup(name string) (*peer.Group, *peer.Server) {
 	ho := configuration.NewHolder(event.Discard())
 	gr := peer.NewGroup(peer.Options{
@@ -46,8 +48,8 @@
 	return gr, peer.NewServer(gr, nil, nil)
 }
 
-// BenchmarkExchange measures one exchange in which every member's heartbeat
-// has changed, as it has once an interval.
+// BenchmarkExchange measures one exchange between peers in which the state of every
+// member is sent, since each member's heartbeat changes once in each interval.
 func BenchmarkExchange(b *testing.B) {
 	for _, n := range []int{16, 70, 420} {
 		b.Run(fmt.Sprintf("daemons-%d", n), func(b *testing.B) {
@@ -56,7 +58,7 @@
 			size := 0
 			b.ReportAllocs()
 			for b.Loop() {
-				members(gr, n)
+				publishMembers(gr, n)
 				rs, err := se.Exchange(b.Context(), rq)
 				qt.Assert(b, err, qt.IsNil)
 				size = proto.Size(rs)
@@ -66,22 +68,24 @@
 	}
 }
 
+// endpointRecord returns the stored endpoint record of replica i, with revision i+1.
 func endpointRecord(i int) policy.Stored {
 	text := fmt.Sprintf(`{"schema_version":2,"kind":"endpoint","id":"replica-%d","spec":{"kind":"ENGINE","url":"http://10.1.0.1:8000","failure_domain":"fd-%d","versions":["m-1","m-2"],"slots":8,"echoes_request_id":true}}`, i, i%16)
 	return policy.Stored{Key: fmt.Sprintf("endpoint/replica-%d", i), Value: []byte(text), ModRevision: store.Revision(i + 1)}
 }
 
-// BenchmarkPolicyChange measures one change of one record in a set of many.
+// BenchmarkPolicyChange measures the change of one record in policy sets of several
+// sizes, and the heap that a record takes.
 func BenchmarkPolicyChange(b *testing.B) {
 	for _, n := range []int{20, 220, 2200} {
 		b.Run(fmt.Sprintf("records-%d", n), func(b *testing.B) {
-			var all []policy.Stored
+			var records []policy.Stored
 			for i := range n {
-				all = append(all, endpointRecord(i))
+				records = append(records, endpointRecord(i))
 			}
-			before := heap()
-			se := policy.NewSet().With(0, all)
-			held := heap() - before
+			heapBefore := liveHeap()
+			se := policy.NewSet().With(0, records)
+			heapUsed := liveHeap() - heapBefore
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := 0; b.Loop(); i++ {
@@ -89,23 +93,25 @@
 				ch.ModRevision = store.Revision(n + i + 1)
 				se = se.With(0, []policy.Stored{ch})
 			}
-			b.ReportMetric(float64(held)/float64(n), "heap-bytes/record")
+			b.ReportMetric(float64(heapUsed)/float64(n), "heap-bytes/record")
 		})
 	}
 }
 
-func heap() uint64 {
+// liveHeap returns the bytes of heap that are in use after a garbage collection.
+func liveHeap() uint64 {
 	runtime.GC()
 	var ms runtime.MemStats
 	runtime.ReadMemStats(&ms)
 	return ms.HeapAlloc
 }
 
-// BenchmarkPin measures pins of sessions at their home.
+// BenchmarkPin measures the time that it takes to pin a new session at the entry that
+// stores the pin, and the heap that a pin takes.
 func BenchmarkPin(b *testing.B) {
 	gr, _ := newGroup("a")
 	pi := session.NewPins(gr)
-	before := heap()
+	before := liveHeap()
 	n := 0
 	b.ReportAllocs()
 	for b.Loop() {
@@ -115,10 +121,11 @@
 		qt.Assert(b, err, qt.IsNil)
 	}
 	b.StopTimer()
-	b.ReportMetric(float64(heap()-before)/float64(pi.Len()), "heap-bytes/pin")
+	b.ReportMetric(float64(liveHeap()-before)/float64(pi.Len()), "heap-bytes/pin")
 }
 
-// BenchmarkBillSize measures a bill on the wire, and in a sealed batch.
+// BenchmarkBillSize measures the encoded size of a bill, which is the same on the
+// wire and in a sealed batch.
 func BenchmarkBillSize(b *testing.B) {
 	bi := &rpc.Bill{
 		Id: "01M8ZDYM5SZZCC49B9A5Z50SMP", Organisation: "survey-office", RequestId: "01M8ZDYM5SZZCC49B9A7DJX0Z9",
@@ -132,14 +139,15 @@
 	b.ReportMetric(float64(proto.Size(bi)), "bytes/bill")
 }
 
-// serveEngine serves an engine that answers as fast as it can.
+// serveEngine starts a stand-in engine that answers without delay, and returns its
+// address.
 func serveEngine(b *testing.B) string {
 	return serveHandler(b, standin.NewEngine(standin.EngineOptions{Slots: 64, CachedPrefixes: 4}).Handler())
 }
 
-// ask reads one streamed answer, and gives the times to the first event and
-// to the end.
-func ask(b *testing.B, client *http.Client, url string, tokens, n int) (first, whole time.Duration) {
+// streamChat requests a streamed answer with a number of tokens, and returns the times
+// until its first byte and until its end. n makes the request id unique.
+func streamChat(b *testing.B, client *http.Client, url string, tokens, n int) (first, total time.Duration) {
 	started := time.Now()
 	body := fmt.Sprintf(`{"model":"m","stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"x"}]}`, tokens)
 	rq, err := http.NewRequest(http.MethodPost, url+"/v1/chat/completions", strings.NewReader(body))
--- a/capacity/entry_test.go
+++ b/capacity/entry_test.go
@@ -24,9 +24,11 @@
 	"tanagerpoint.example/tanager/store"
 )
 
+// benchTokens is the length of the answers in BenchmarkAnswer.
 const benchTokens = 100
 
-// startEntry starts an entry before an engine, and gives its base URL.
+// startEntry starts an entry that sends requests to an engine, and returns the entry's
+// base URL.
 func startEntry(b *testing.B, engine string) string {
 	gin.SetMode(gin.ReleaseMode)
 	st := standin.NewStore()
@@ -34,7 +36,7 @@
 	platform.Handle("/v3/", st.Handler())
 	platform.Handle("/vms", standin.NewVMList(0).Handler())
 	address := serveHandler(b, platform)
-	applyBench(b, address, engine)
+	applyPolicy(b, address, engine)
 	text := fmt.Sprintf("[vm]\nid = e\nsite = s\nfailure_domain = f\n[listen]\ncallers = 127.0.0.1:18801\nadmin = 127.0.0.1:18901\npeers = 127.0.0.1:18701\n[store]\nurls = http://%s\n[platform]\nvm_list_url = http://%s/vms\n[peers]\nshared_key = 0123456789abcdef\n", address, address)
 	file := filepath.Join(b.TempDir(), "entry.ini")
 	qt.Assert(b, os.WriteFile(file, []byte(text), 0o600), qt.IsNil)
@@ -50,6 +52,8 @@
 	return "http://127.0.0.1:18801"
 }
 
+// serveHandler serves a handler on a free port until the benchmark ends, and returns
+// its address.
 func serveHandler(b *testing.B, ha http.Handler) string {
 	li, err := network.Real().Listen("127.0.0.1:0")
 	qt.Assert(b, err, qt.IsNil)
@@ -63,7 +67,9 @@
 	return li.Addr().String()
 }
 
-func applyBench(b *testing.B, address, engine string) {
+// applyPolicy writes to the store at an address the policy of BenchmarkAnswer, with
+// one model and one endpoint.
+func applyPolicy(b *testing.B, address, engine string) {
 	cl := store.NewClient(store.Options{URLs: []string{"http://" + address}, Timeout: time.Second, Dial: network.Real().Dial})
 	defer cl.Close()
 	var rq configuration.Request
@@ -82,28 +88,29 @@
 	qt.Assert(b, err, qt.IsNil)
 }
 
-// BenchmarkAnswer measures streamed answers straight from an engine and through
-// an entry, in one run. The entry has no peer, so that its bills go to the
-// store before an answer's last chunk.
+// BenchmarkAnswer measures streamed answers directly from an engine and through an
+// entry, in one run so that the figures can be compared. The entry has no peer to keep
+// copies of its bills, so it writes each bill to the store before the last chunk of
+// the answer.
 func BenchmarkAnswer(b *testing.B) {
-	engine := serveEngine(b)
-	for _, way := range []struct{ name, url string }{
-		{"direct", "http://" + engine},
-		{"through-entry", startEntry(b, engine)},
+	engineAddress := serveEngine(b)
+	for _, variant := range []struct{ name, url string }{
+		{"direct", "http://" + engineAddress},
+		{"through-entry", startEntry(b, engineAddress)},
 	} {
-		b.Run(way.name, func(b *testing.B) {
+		b.Run(variant.name, func(b *testing.B) {
 			client := network.Real().Client(64)
-			var firsts []time.Duration
+			var firstEventTimes []time.Duration
 			b.ReportAllocs()
 			n := 0
 			for b.Loop() {
 				n++
-				first, _ := ask(b, client, way.url, benchTokens, n)
-				firsts = append(firsts, first)
+				first, _ := streamChat(b, client, variant.url, benchTokens, n)
+				firstEventTimes = append(firstEventTimes, first)
 			}
-			slices.Sort(firsts)
-			b.ReportMetric(float64(firsts[len(firsts)/2].Microseconds()), "first-us-p50")
-			b.ReportMetric(float64(firsts[len(firsts)*95/100].Microseconds()), "first-us-p95")
+			slices.Sort(firstEventTimes)
+			b.ReportMetric(float64(firstEventTimes[len(firstEventTimes)/2].Microseconds()), "first-us-p50")
+			b.ReportMetric(float64(firstEventTimes[len(firstEventTimes)*95/100].Microseconds()), "first-us-p95")
 		})
 	}
 }
--- a/capacity/router_test.go
+++ b/capacity/router_test.go
@@ -12,36 +12,37 @@
 	"tanagerpoint.example/tanager/testsite"
 )
 
-// TestRouterSlopes measures what an idle router sends and asks of the store,
-// against the routers of its site. It is a report: the bound that it checks is
-// the two-year budget of 10 KB/s, at the sizes where CAPACITY.md says it holds.
+// TestRouterSlopes measures how the bytes that an idle router sends, and its calls of
+// the store, grow with the number of routers of its site. It logs the figures for
+// docs/CAPACITY.md, and checks only that a router sends at most 10 KB/s, the budget for
+// the size expected in two years, at the sizes where that document says so.
 func TestRouterSlopes(t *testing.T) {
 	const (
-		idle          = 20 * time.Second
-		budgetBytes   = 10_000
-		largestInside = 32
+		measured           = 20 * time.Second
+		budgetBytes        = 10_000
+		maxRoutersInBudget = 32
 	)
 	for _, routers := range []int{8, 16, 32, 64} {
 		synctest.Test(t, func(t *testing.T) {
 			rs := testsite.NewRouterSite(t, testsite.RouterOptions{Routers: routers, Engines: 2, Plains: 1})
 			defer rs.Close()
 			time.Sleep(10 * time.Second)
-			before := sent(rs, routers)
+			before := totalBytesSent(rs, routers)
 			reads, writes := rs.Store.Calls()
-			time.Sleep(idle)
-			reads2, writes2 := rs.Store.Calls()
-			each := float64(sent(rs, routers)-before) / float64(routers) / idle.Seconds()
-			calls := float64(reads2-reads+writes2-writes) / float64(routers) / idle.Seconds()
-			t.Logf("%d routers: %.1f KB/s and %.2f calls of the store a second each", routers, each/1000, calls)
-			if routers <= largestInside && each > budgetBytes {
-				t.Errorf("%d routers send %.0f B/s each, over %d", routers, each, budgetBytes)
+			time.Sleep(measured)
+			readsAfter, writesAfter := rs.Store.Calls()
+			bytesPerSecond := float64(totalBytesSent(rs, routers)-before) / float64(routers) / measured.Seconds()
+			callsPerSecond := float64(readsAfter-reads+writesAfter-writes) / float64(routers) / measured.Seconds()
+			t.Logf("%d routers: each sends %.1f KB/s and makes %.2f store calls/s", routers, bytesPerSecond/1000, callsPerSecond)
+			if routers <= maxRoutersInBudget && bytesPerSecond > budgetBytes {
+				t.Errorf("%d routers: each sends %.0f B/s, want at most %d B/s", routers, bytesPerSecond, budgetBytes)
 			}
 		})
 	}
 }
 
-// sent adds up the bytes that the routers have sent so far.
-func sent(rs *testsite.RouterSite, routers int) int64 {
+// totalBytesSent returns the sum of the bytes that the routers have sent so far.
+func totalBytesSent(rs *testsite.RouterSite, routers int) int64 {
 	sum := int64(0)
 	for n := 1; n <= routers; n++ {
 		sum += rs.Net.BytesSent(testsite.Host(testsite.RouterName(n)))
@@ -49,17 +50,18 @@
 	return sum
 }
 
-// TestChangesInALargeGroup has changes come four times a second. The routers'
-// calls of the store stay within its budget at the two-year size, and the last
-// change is soon in force everywhere.
+// TestChangesInALargeGroup changes a registration four times a second. The routers'
+// calls must stay within what the store can serve at the size expected in two years,
+// and every router must have the last change soon.
 func TestChangesInALargeGroup(t *testing.T) {
 	const (
 		routers  = 32
 		changes  = 40
 		interval = 250 * time.Millisecond
-		// callsEach is a router's part of 2,000 reads a second among 420.
-		callsEach = 2000.0 / 420
-		inForce   = 2 * time.Second
+		// maxCallsPerSecond is a router's share of the store's 2,000 reads a second,
+		// divided among 420 daemons.
+		maxCallsPerSecond = 2000.0 / 420
+		maxInForce        = 2 * time.Second
 	)
 	synctest.Test(t, func(t *testing.T) {
 		rs := testsite.NewRouterSite(t, testsite.RouterOptions{Routers: routers, Plains: 1})
@@ -70,13 +72,13 @@
 			rs.Register(testsite.PlainService, 1, fmt.Sprint("v", n), "ready")
 			time.Sleep(interval)
 		}
-		reads2, _ := rs.Store.Calls()
-		each := float64(reads2-reads) / routers / (changes * interval).Seconds()
-		t.Logf("%.2f calls of the store a second and router", each)
-		qt.Check(t, each < callsEach, qt.IsTrue)
+		readsAfter, _ := rs.Store.Calls()
+		callsPerSecond := float64(readsAfter-reads) / routers / (changes * interval).Seconds()
+		t.Logf("each router makes %.2f store calls/s", callsPerSecond)
+		qt.Check(t, callsPerSecond < maxCallsPerSecond, qt.IsTrue)
 		rs.Register(testsite.PlainService, 2, "v1", "ready")
 		newest := rs.Store.Revision()
-		took := rs.Eventually(inForce, "the last change is in force everywhere", func() bool {
+		inForceAfter := rs.Eventually(maxInForce, "the last change is in force at every router", func() bool {
 			for n := 1; n <= routers; n++ {
 				if int64(rs.Routers[n].Dump().(router.State).PolicyRevision) < newest {
 					return false
@@ -84,6 +86,6 @@
 			}
 			return true
 		})
-		t.Logf("in force everywhere after %s", took)
+		t.Logf("in force at every router after %s", inForceAfter)
 	})
 }
