--- a/golden/golden_test.go
+++ b/golden/golden_test.go
@@ -1,5 +1,5 @@
-// Package golden_test replays whole sessions of operators and callers against
-// the programs, and compares what they print with golden files.
+// Package golden_test runs the scripts in testdata, which are sessions of operators and
+// callers, against the programs, and compares the output with golden files.
 package golden_test
 
 import (
@@ -21,8 +21,8 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// bin holds the programs, built once.
-var bin string
+// programDir is the directory of the programs, which TestMain builds once.
+var programDir string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "tanager-golden")
@@ -33,12 +33,14 @@
 	if err != nil {
 		panic(string(out))
 	}
-	bin = dir
+	programDir = dir
 	code := m.Run()
 	_ = os.RemoveAll(dir)
 	os.Exit(code)
 }
 
+// TestSessions runs each script of testdata. With UPDATE_GOLDEN set it rewrites the
+// golden files instead of comparing them.
 func TestSessions(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir:                 "testdata",
@@ -46,16 +48,17 @@
 		UpdateScripts:       os.Getenv("UPDATE_GOLDEN") != "",
 		Setup:               setup,
 		Cmds: map[string]func(ts *testscript.TestScript, neg bool, args []string){
-			"call":        call,
-			"await":       await,
-			"await-store": awaitStore,
+			"call":        callCommand,
+			"await":       awaitCommand,
+			"await-store": awaitStoreCommand,
 		},
 	})
 }
 
-// setup gives each script the programs and ports of its own.
+// setup puts the programs on the script's PATH, and sets environment variables with
+// addresses that no other script uses.
 func setup(en *testscript.Env) error {
-	en.Setenv("PATH", bin+string(filepath.ListSeparator)+os.Getenv("PATH"))
+	en.Setenv("PATH", programDir+string(filepath.ListSeparator)+os.Getenv("PATH"))
 	en.Setenv("USER", "asha")
 	for _, name := range []string{"STORE", "VMS", "ENGINE", "DESK", "CALLERS1", "ADMIN1", "PEERS1", "CALLERS2", "ADMIN2", "PEERS2"} {
 		address, err := freeAddress()
@@ -74,9 +77,9 @@
 	nextPort = 20000 + os.Getpid()%10000
 )
 
-// freeAddress gives an address that no script has yet. Its port is below those
-// that the system gives to outgoing connections, which could take it before the
-// script's program listens.
+// freeAddress returns an address that no other script has. Its port lies below the
+// system's ephemeral ports: an outgoing connection could take one of these before the
+// script's program listens on it.
 func freeAddress() (string, error) {
 	portMu.Lock()
 	defer portMu.Unlock()
@@ -91,7 +94,8 @@
 	return "", errors.New("no free port")
 }
 
-// expandFiles replaces ${NAME} in the script's .ini and .json files.
+// expandFiles replaces ${NAME} in the script's .ini and .json files by the environment
+// variable NAME.
 func expandFiles(en *testscript.Env) error {
 	for _, pattern := range []string{"*.ini", "*.json"} {
 		files, err := filepath.Glob(filepath.Join(en.WorkDir, pattern))
@@ -111,8 +115,9 @@
 	return nil
 }
 
-// await URL [header...] waits until a GET answers 200.
-func await(ts *testscript.TestScript, _ bool, args []string) {
+// awaitCommand implements "await URL [header...]": it blocks until a GET of the URL is
+// answered with 200.
+func awaitCommand(ts *testscript.TestScript, _ bool, args []string) {
 	for range 200 {
 		rq, err := http.NewRequest(http.MethodGet, args[0], nil)
 		ts.Check(err)
@@ -126,11 +131,11 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	ts.Fatalf("%s did not come up", args[0])
+	ts.Fatalf("%s: no answer with status 200 after 200 tries", args[0])
 }
 
-// awaitStore waits until the store answers.
-func awaitStore(ts *testscript.TestScript, _ bool, _ []string) {
+// awaitStoreCommand implements "await-store": it blocks until the store answers.
+func awaitStoreCommand(ts *testscript.TestScript, _ bool, _ []string) {
 	for range 200 {
 		rs, err := http.Post("http://"+ts.Getenv("STORE")+"/v3/kv/range", "application/json", strings.NewReader(`{"key":"eA=="}`))
 		if err == nil {
@@ -139,17 +144,17 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	ts.Fatalf("the store did not come up")
+	ts.Fatalf("the store did not answer after 200 tries")
 }
 
-// shown are the headers that call prints.
-var shown = []string{
+// printedHeaders are the response headers that the command call prints.
+var printedHeaders = []string{
 	"X-Tanager-Ran", "X-Tanager-Version", "X-Tanager-Endpoint", "X-Tanager-Session-Moved", "Idempotent-Replayed", "Retry-After",
 }
 
-// call METHOD URL BODY [header...] prints the answer, with what differs from
-// run to run replaced.
-func call(ts *testscript.TestScript, _ bool, args []string) {
+// callCommand implements "call METHOD URL BODY [header...]": it prints status, some
+// headers and body of the answer, normalised.
+func callCommand(ts *testscript.TestScript, _ bool, args []string) {
 	rq, err := http.NewRequest(args[0], args[1], strings.NewReader(args[2]))
 	ts.Check(err)
 	addHeaders(rq, args[3:])
@@ -160,7 +165,7 @@
 	ts.Check(rs.Body.Close())
 	var out bytes.Buffer
 	fmt.Fprintln(&out, rs.StatusCode)
-	for _, name := range shown {
+	for _, name := range printedHeaders {
 		if va := rs.Header.Get(name); va != "" {
 			fmt.Fprintf(&out, "%s: %s\n", name, va)
 		}
@@ -170,6 +175,7 @@
 	ts.Check(err)
 }
 
+// addHeaders sets headers given as "Name: value".
 func addHeaders(rq *http.Request, headers []string) {
 	for _, he := range headers {
 		name, va, _ := strings.Cut(he, ": ")
@@ -177,9 +183,10 @@
 	}
 }
 
-var volatile = []struct {
-	pattern *regexp.Regexp
-	with    string
+// volatileTexts are the parts of an answer that differ from run to run.
+var volatileTexts = []struct {
+	pattern     *regexp.Regexp
+	replacement string
 }{
 	{regexp.MustCompile(`\b[0-9A-HJKMNP-TV-Z]{26}\b`), "ULID"},
 	{regexp.MustCompile(`"created":\d+`), `"created":0`},
@@ -187,9 +194,10 @@
 	{regexp.MustCompile(`\d{4}-\d\d-\d\dT[0-9:.]+Z`), "TIME"},
 }
 
+// normalise replaces volatileTexts by constants.
 func normalise(text string) string {
-	for _, vo := range volatile {
-		text = vo.pattern.ReplaceAllString(text, vo.with)
+	for _, vt := range volatileTexts {
+		text = vt.pattern.ReplaceAllString(text, vt.replacement)
 	}
 	return text
 }
