--- a/spec/bill.pml
+++ b/spec/bill.pml
@@ -1,48 +1,54 @@
 /*
- * Sealing a batch of bills (package bill).
+ * Sealing of a batch of bills (package bill).
  *
- * An owner keeps two bills, each copied to a peer before its answer ends. The
- * owner and the peers seal the batch: they write the first part unread, and
- * when it is there read the parts and append what is missing. A write is
- * create-only for its part's number; its answer may be lost. The owner may be
- * killed, or only be thought dead by its peers.
+ * The owner of a batch keeps two bills. Each is copied to one or both of two peers
+ * before its answer ends. The owner and the peers each seal the batch: they write
+ * part 0 without reading; if that part exists, they read all parts and append a part
+ * with the bills that are missing. A write only creates a part and never overwrites
+ * one. Its response may be lost. The owner may be killed, and a peer may seal while
+ * the owner is alive, because it wrongly takes the owner for failed.
  *
- * Checked: no bill is stored twice; when everybody who lives has sealed, every
- * answered bill is stored.
+ * Checked: no bill is stored twice. When owner and peers have ended, each bill whose
+ * answer ended is stored.
  *
- * Seeded faults: FAULT_OWN_PARTS gives each sealer part numbers of its own;
- * FAULT_NO_READ appends all that a sealer has, without reading.
+ * Seeded faults: FAULT_OWN_PARTS gives each sealer its own range of part numbers.
+ * FAULT_NO_READ appends all bills of a sealer unless the parts hold every one of
+ * them, instead of only the missing ones.
  */
 #define PARTS 6
 
-byte part[PARTS];   /* bit set of bills in each part, 0: no such part */
-byte stored[2];     /* how often each bill is stored */
-bool answered[2];
-byte owner_has, peer_has[2];
-bool owner_dead;
-byte sealed;
+byte part[PARTS];         /* bit set of the bills in each part; 0: no such part */
+byte times_stored[2];     /* number of parts that contain each bill */
+bool answered[2];         /* the answer of the bill has ended */
+byte owner_bills, peer_bills[2]; /* bit sets of the bills that each daemon has */
+bool owner_killed;
+byte sealers_done;        /* daemons, of three, that have ended */
 
+/* Creates part n. */
 inline append(n, bills) {
 	part[n] = bills;
-	stored[0] = stored[0] + (bills & 1);
-	stored[1] = stored[1] + ((bills >> 1) & 1);
-	assert(stored[0] <= 1 && stored[1] <= 1)
+	times_stored[0] = times_stored[0] + (bills & 1);
+	times_stored[1] = times_stored[1] + ((bills >> 1) & 1);
+	assert(times_stored[0] <= 1 && times_stored[1] <= 1)
 }
 
-/* Seals what a sealer has; an answer lost is a try more. */
-inline seal(mine, first) {
-	number = first;
-	missing = mine;
+/*
+ * Seals own_bills, in parts from first_part on. After a lost response, or when the
+ * part exists, reads the parts and tries again with the bills that are missing.
+ */
+inline seal(own_bills, first_part) {
+	part_number = first_part;
+	missing = own_bills;
 	do
 	:: missing == 0 -> break
 	:: missing != 0 ->
 		atomic {
 			if
-			:: part[number] == 0 ->
-				append(number, missing);
+			:: part[part_number] == 0 ->
+				append(part_number, missing);
 				if
 				:: missing = 0
-				:: skip /* the answer is lost */
+				:: skip /* the response is lost */
 				fi
 			:: else -> skip
 			fi
@@ -52,18 +58,18 @@
 		:: else ->
 			/* Read all parts. */
 			atomic {
-				have = 0; number = first;
+				found = 0; part_number = first_part;
 				do
-				:: number < PARTS && part[number] != 0 -> have = have | part[number]; number++
+				:: part_number < PARTS && part[part_number] != 0 -> found = found | part[part_number]; part_number++
 				:: else -> break
 				od;
 #ifdef FAULT_NO_READ
 				if
-				:: have == (have | mine) -> missing = 0
-				:: else -> missing = mine
+				:: found == (found | own_bills) -> missing = 0
+				:: else -> missing = own_bills
 				fi
 #else
-				missing = mine & (7 - have)
+				missing = own_bills & (7 - found)
 #endif
 			}
 		fi
@@ -71,57 +77,58 @@
 }
 
 active proctype Owner() {
-	byte bill, number, missing, have, mine;
+	byte bill, part_number, missing, found, own_bills;
 	do
 	:: bill < 2 ->
-		owner_has = owner_has | (1 << bill);
-		/* One peer, or both, have the copy before the answer ends. */
+		owner_bills = owner_bills | (1 << bill);
+		/* One peer, or both, receive a copy before the answer ends. */
 		if
-		:: peer_has[0] = peer_has[0] | (1 << bill)
-		:: peer_has[1] = peer_has[1] | (1 << bill)
-		:: peer_has[0] = peer_has[0] | (1 << bill); peer_has[1] = peer_has[1] | (1 << bill)
+		:: peer_bills[0] = peer_bills[0] | (1 << bill)
+		:: peer_bills[1] = peer_bills[1] | (1 << bill)
+		:: peer_bills[0] = peer_bills[0] | (1 << bill); peer_bills[1] = peer_bills[1] | (1 << bill)
 		fi;
 		answered[bill] = true;
 		bill++
 	:: bill == 2 -> break
-	:: owner_dead = true; goto Done
+	:: owner_killed = true; goto Done
 	od;
 	if
-	:: owner_dead = true; goto Done
+	:: owner_killed = true; goto Done
 	:: skip
 	fi;
-	mine = owner_has;
-	seal(mine, 0);
-Done:	sealed++
+	own_bills = owner_bills;
+	seal(own_bills, 0);
+Done:	sealers_done++
 }
 
 proctype Peer(byte me) {
-	byte number, missing, have, mine, tries;
-	/* The peer may seal while the owner lives, and seals when it is done. */
+	byte part_number, missing, found, own_bills, tries;
+	/* The peer may seal once before the owner has ended, and seals after that. */
 	do
 	:: tries == 0 ->
 		tries++;
-		mine = peer_has[me];
+		own_bills = peer_bills[me];
 #ifdef FAULT_OWN_PARTS
-		seal(mine, 2 + 2 * me)
+		seal(own_bills, 2 + 2 * me)
 #else
-		seal(mine, 0)
+		seal(own_bills, 0)
 #endif
-	:: sealed > 0 -> break
+	:: sealers_done > 0 -> break
 	od;
-	mine = peer_has[me];
+	own_bills = peer_bills[me];
 #ifdef FAULT_OWN_PARTS
-	seal(mine, 2 + 2 * me);
+	seal(own_bills, 2 + 2 * me);
 #else
-	seal(mine, 0);
+	seal(own_bills, 0);
 #endif
-	sealed++
+	sealers_done++
 }
 
-active proctype Judge() {
-	sealed == 3;
-	assert(!answered[0] || stored[0] == 1);
-	assert(!answered[1] || stored[1] == 1)
+/* Checks the stored bills when owner and peers have ended. */
+active proctype FinalCheck() {
+	sealers_done == 3;
+	assert(!answered[0] || times_stored[0] == 1);
+	assert(!answered[1] || times_stored[1] == 1)
 }
 
 init {
--- a/spec/check.sh
+++ b/spec/check.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Model-checks every specification, and checks that each of its seeded faults
-# is found. Needs spin and a C compiler.
+# Checks every model with Spin: without a fault Spin must find no error, and with each
+# seeded fault (#ifdef FAULT_...) at least one. Needs spin and gcc.
 set -euo pipefail
 cd "$(dirname "$0")"
 here="$PWD"
@@ -8,7 +8,8 @@
 trap 'rm -rf "$work"' EXIT
 failed=0
 
-# errors SPEC [FAULT]: prints the number of errors that the checker finds.
+# errors SPEC [FAULT]: prints the number of errors that Spin finds. Fails when the
+# search ran out of depth, memory or time without finding one.
 errors() {
   local dir="$work/$1-${2:-none}"
   mkdir -p "$dir"
@@ -31,7 +32,7 @@
   if [ "$found" = 0 ]; then
     echo "ok    $spec: no errors in $states states"
   else
-    echo "FAIL  $spec: the checker found an error"; failed=1
+    echo "FAIL  $spec: Spin found an error"; failed=1
     cat "$work/$spec-none/pan.log"
   fi
   for fault in $(grep -oE '#ifdef FAULT_[A-Z_]+' "$spec.pml" | cut -d' ' -f2 | sort -u); do
--- a/spec/claim.pml
+++ b/spec/claim.pml
@@ -1,40 +1,46 @@
 /*
  * Claims of calls that may not be repeated (package claim).
  *
- * Entries ask the store for one key. A commit compares the key's revision; it
- * may be delayed, and its answer may be lost. An entry that gave up claims
- * releases them. Entries may be killed at any point.
+ * Two entries try to claim the same call, by commits of one key in the store. A
+ * commit takes effect only if the key still has the revision that it compares. A
+ * commit may be delayed, and its response may be lost. An entry that stops waiting
+ * for the response to its claim releases the claim in the background. An entry may
+ * be killed at any point.
  *
- * Checked: the call is sent at most once, and an entry that says "not run"
- * has not sent it and never will.
+ * Checked: the call is sent at most once, and an entry that reports "not run" has not
+ * sent the call and does not send it later.
  *
- * Seeded faults: FAULT_RESEND sends again after a failed send; FAULT_GIVE_UP
- * runs the call although the claim's answer stayed lost; FAULT_NO_COMPARE
- * writes the claim without comparing.
+ * Seeded faults: FAULT_RESEND sends the call a second time. FAULT_GIVE_UP runs the
+ * call although no response to the claim arrived. FAULT_NO_COMPARE writes without
+ * comparing the revision.
  */
 #define ENTRIES 2
 #define TRIES 2
 
 mtype = { none, claimed, finished, released };
 
+/* The value of the key, and its revision. */
 mtype state = none;
 byte owner;
 byte revision;
-byte sends;
-bool said_not_run[ENTRIES];
+
+byte send_count; /* times that the call was sent, by any entry */
+bool reported_not_run[ENTRIES];
 bool has_sent[ENTRIES];
 
-/* write, by, compared revision, new state */
+/* Commits on their way to the store: writer, compared revision, new state. */
 chan commits = [3] of { byte, byte, mtype };
-/* answers: applied, state found, owner found, revision found */
+/* Responses to each entry: whether the commit was applied; then state, owner and
+ * revision of the key. */
 chan answers[ENTRIES] = [2] of { bool, mtype, byte, byte };
 
+/* Receives the commits in any order. */
 active proctype Store() {
-	byte by, compare;
-	mtype next;
+	byte writer, compare;
+	mtype new_state;
 	bool applied;
 end:	do
-	:: commits??by, compare, next ->
+	:: commits??writer, compare, new_state ->
 		atomic {
 			applied = false;
 			if
@@ -43,41 +49,42 @@
 #else
 			:: compare == revision ->
 #endif
-				state = next; owner = by; revision++; applied = true
+				state = new_state; owner = writer; revision++; applied = true
 			:: else -> skip
 			fi;
 			if
-			:: nfull(answers[by]) -> answers[by]!applied, state, owner, revision
-			:: true -> skip /* the answer is lost */
+			:: nfull(answers[writer]) -> answers[writer]!applied, state, owner, revision
+			:: true -> skip /* the response is lost */
 			fi
 		}
 	od
 }
 
-inline submit(what) {
+/* Sends a commit, which is lost when too many are on their way. */
+inline submit(new_state) {
 	if
-	:: nfull(commits) -> commits!me, compare, what
+	:: nfull(commits) -> commits!me, compare, new_state
 	:: full(commits) -> skip
 	fi
 }
 
 proctype Entry(byte me) {
-	byte compare = 0, tries = 0, by, found;
-	mtype what;
+	byte compare = 0, tries = 0, found_owner, found_revision;
+	mtype found_state;
 	bool applied;
 
 Claim:	submit(claimed);
 Wait:	if
-	:: answers[me]?applied, what, by, found ->
+	:: answers[me]?applied, found_state, found_owner, found_revision ->
 		if
-		:: applied || (by == me && what == claimed) -> compare = found; goto Hold
+		:: applied || (found_owner == me && found_state == claimed) -> compare = found_revision; goto Hold
 		:: else ->
 			if
-			:: what == released && tries < TRIES -> compare = found; tries++; goto Claim
-			:: else -> goto Done /* another's claim: not run here */
+			:: found_state == released && tries < TRIES -> compare = found_revision; tries++; goto Claim
+			:: else -> goto Done /* claimed by the other entry, or finished: not run here */
 			fi
 		fi
-	:: tries < TRIES -> tries++; goto Claim /* answer lost: the same write again */
+	:: tries < TRIES -> tries++; goto Claim /* response lost or late: sends the same commit again */
 	:: goto Unresolved
 	:: goto Done /* killed */
 	fi;
@@ -86,17 +93,17 @@
 #ifdef FAULT_GIVE_UP
 	goto Hold;
 #endif
-	said_not_run[me] = true;
-	/* Releases in the background what may have been claimed, or may yet be. */
+	reported_not_run[me] = true;
+	/* Releases the claim, whose commit may have taken effect or may still do so. */
 	tries = 0;
 	do
 	:: tries < TRIES ->
 		tries++;
 		submit(released);
 		if
-		:: answers[me]?applied, what, by, found ->
+		:: answers[me]?applied, found_state, found_owner, found_revision ->
 			if
-			:: !applied && by == me && what == claimed -> compare = found
+			:: !applied && found_owner == me && found_state == claimed -> compare = found_revision
 			:: else -> break
 			fi
 		:: true -> skip
@@ -107,16 +114,16 @@
 
 Hold:	if
 	:: goto Done /* killed before the send */
-	:: true -> /* nothing could be sent */
-		said_not_run[me] = true;
+	:: true -> /* the send failed before its first byte */
+		reported_not_run[me] = true;
 		submit(released);
 		goto Done
 	:: true ->
-		atomic { sends++; has_sent[me] = true; assert(sends <= 1) }
+		atomic { send_count++; has_sent[me] = true; assert(send_count <= 1) }
 	fi;
 #ifdef FAULT_RESEND
 	if
-	:: true -> atomic { sends++; assert(sends <= 1) }
+	:: true -> atomic { send_count++; assert(send_count <= 1) }
 	:: true -> skip
 	fi;
 #endif
@@ -125,7 +132,7 @@
 	:: skip /* killed after the send */
 	fi;
 
-Done:	assert(!(said_not_run[me] && has_sent[me]))
+Done:	assert(!(reported_not_run[me] && has_sent[me]))
 }
 
 init {
--- a/spec/configuration.pml
+++ b/spec/configuration.pml
@@ -1,31 +1,32 @@
 /*
- * The spread of policy records (package configuration and peer).
+ * Distribution of policy records to daemons (packages configuration and peer).
  *
- * Two records; every change raises the store's revision. Daemons follow the
- * store by a watch that goes on from their own revision, start from nothing,
- * and take from peers what changed after their own revision. Messages from
- * peers may be old.
+ * The operator changes one of two records; each change increments the store's
+ * revision. A daemon starts without records. It watches the store for the changes
+ * after its own revision, and takes newer states from a peer. A peer's response may be
+ * out of date when it is read.
  *
- * Checked: a daemon's revision never falls, and its records are those of the
- * store at its revision.
+ * Checked: a daemon's revision never falls, except when its VM is replaced, and its
+ * records are those of the store at its revision.
  *
- * Seeded faults: FAULT_TAKE_OLDER takes a peer's state whatever its revision;
- * FAULT_GAP goes on with a watch from the newest revision.
+ * Seeded faults: FAULT_TAKE_OLDER takes a peer's state whatever its revision.
+ * FAULT_GAP continues the watch at the store's newest revision, which skips changes.
  */
 #define DAEMONS 2
 #define CHANGES 3
 
 byte store_revision;
-byte last[2];                    /* revision of each record's last change */
-byte at[8];                      /* at[r*2+i]: record i's last change at revision r */
+byte last_change[2];   /* revision at which each record last changed, in the store */
+byte record_at[8];     /* record_at[r*2+i]: last change of record i as of revision r */
 byte revision[DAEMONS];
-byte have[4];                    /* have[d*2+i]: record i at daemon d */
-/* A peer's answer on its way: revision and records. */
+byte record[4];        /* record[d*2+i]: last change of record i that daemon d has */
+/* The response of a peer on its way to each daemon: revision, records 0 and 1. */
 chan answers[DAEMONS] = [1] of { byte, byte, byte };
 
+/* Asserts that daemon d has the store's records of its revision. */
 inline check(d) {
-	assert(have[d * 2] == at[revision[d] * 2]);
-	assert(have[d * 2 + 1] == at[revision[d] * 2 + 1])
+	assert(record[d * 2] == record_at[revision[d] * 2]);
+	assert(record[d * 2 + 1] == record_at[revision[d] * 2 + 1])
 }
 
 active proctype Operator() {
@@ -38,75 +39,75 @@
 		fi;
 		atomic {
 			store_revision++;
-			last[i] = store_revision;
-			at[store_revision * 2] = last[0];
-			at[store_revision * 2 + 1] = last[1]
+			last_change[i] = store_revision;
+			record_at[store_revision * 2] = last_change[0];
+			record_at[store_revision * 2 + 1] = last_change[1]
 		}
 	:: else -> break
 	od
 }
 
 proctype Daemon(byte me) {
-	byte r, a, b, before;
+	byte new_revision, record_0, record_1, previous_revision;
 	byte steps;
 	do
 	:: steps < 4 ->
 		steps++;
-		before = revision[me];
+		previous_revision = revision[me];
 		if
-		:: true -> /* The watch reports the next change. */
+		:: true -> /* The watch delivers the next change. */
 			atomic {
 				if
 				:: revision[me] < store_revision ->
 #ifdef FAULT_GAP
-					r = store_revision;
+					new_revision = store_revision;
 #else
-					r = revision[me] + 1;
+					new_revision = revision[me] + 1;
 #endif
 					if
-					:: at[r * 2] == r -> have[me * 2] = r
+					:: record_at[new_revision * 2] == new_revision -> record[me * 2] = new_revision
 					:: else -> skip
 					fi;
 					if
-					:: at[r * 2 + 1] == r -> have[me * 2 + 1] = r
+					:: record_at[new_revision * 2 + 1] == new_revision -> record[me * 2 + 1] = new_revision
 					:: else -> skip
 					fi;
-					revision[me] = r;
+					revision[me] = new_revision;
 					check(me)
 				:: else -> skip
 				fi
 			}
-		:: true -> /* A peer gives its state, to be read later. */
+		:: true -> /* The peer sends its state, which is read later. */
 			atomic {
 				if
 				:: empty(answers[me]) ->
-					answers[me]!revision[1 - me], have[(1 - me) * 2], have[(1 - me) * 2 + 1]
+					answers[me]!revision[1 - me], record[(1 - me) * 2], record[(1 - me) * 2 + 1]
 				:: else -> skip
 				fi
 			}
-		:: true -> /* A peer's answer is read. */
+		:: true -> /* The daemon reads the peer's state. */
 			atomic {
 				if
-				:: answers[me]?r, a, b ->
+				:: answers[me]?new_revision, record_0, record_1 ->
 					if
 #ifdef FAULT_TAKE_OLDER
 					:: true ->
-						have[me * 2] = a; have[me * 2 + 1] = b; revision[me] = r
+						record[me * 2] = record_0; record[me * 2 + 1] = record_1; revision[me] = new_revision
 #else
-					:: r > revision[me] ->
-						have[me * 2] = (a > have[me * 2] -> a : have[me * 2]);
-						have[me * 2 + 1] = (b > have[me * 2 + 1] -> b : have[me * 2 + 1]);
-						revision[me] = r
+					:: new_revision > revision[me] ->
+						record[me * 2] = (record_0 > record[me * 2] -> record_0 : record[me * 2]);
+						record[me * 2 + 1] = (record_1 > record[me * 2 + 1] -> record_1 : record[me * 2 + 1]);
+						revision[me] = new_revision
 					:: else -> skip
 #endif
 					fi;
-					assert(revision[me] >= before);
+					assert(revision[me] >= previous_revision);
 					check(me)
 				:: empty(answers[me]) -> skip
 				fi
 			}
-		:: true -> /* The VM is replaced and starts from nothing. */
-			atomic { revision[me] = 0; have[me * 2] = 0; have[me * 2 + 1] = 0; before = 0 }
+		:: true -> /* The VM is replaced; its daemon starts without records. */
+			atomic { revision[me] = 0; record[me * 2] = 0; record[me * 2 + 1] = 0; previous_revision = 0 }
 		fi;
 	:: else -> break
 	od
--- a/spec/lease.pml
+++ b/spec/lease.pml
@@ -1,28 +1,31 @@
 /*
  * Tasks under leases with fencing tokens (packages lease and steward).
  *
- * Stewards take a task by a create-only key bound to a lease. The store ends
- * a lease at any time after its holder stopped renewing. A steward may be
- * paused at any point, also between its check of the lease and its write.
+ * A steward acquires a task by creating the task's key, which is bound to a lease and
+ * cannot be created while it exists. The revision at which the key was created is the
+ * fencing token. The store may delete the key at any time, because the holder stopped
+ * renewing the lease. A steward may be paused at any point, also between its check of
+ * the lease and its write.
  *
- * Checked: a change of configuration takes effect only under the newest token;
- * an endpoint that checks tokens never goes back to an older one.
+ * Checked: a change of configuration takes effect only under the newest token, and an
+ * endpoint that checks tokens carries out no order with an older token after one with
+ * a newer token.
  *
- * Seeded faults: FAULT_NO_FENCE writes without comparing the lease's key;
- * FAULT_NO_TOKEN lets the endpoint carry out any order.
+ * Seeded faults: FAULT_NO_FENCE writes without comparing the lease's key.
+ * FAULT_NO_TOKEN makes the endpoint carry out every order.
  */
 #define STEWARDS 3
 #define ROUNDS 2
 
-byte key_token;        /* 0: no such key */
+byte key_token;          /* token of the task's key; 0: no such key */
 byte next_token = 1;
-byte newest_token;     /* the greatest token ever given */
-byte written_token;    /* token of the last change that took effect */
-byte endpoint_token;   /* greatest token that the endpoint saw */
-byte carried_token;    /* token of the order carried out last */
+byte highest_token;      /* highest token of any steward so far */
+byte applied_token;      /* token of the last change that took effect */
+byte highest_seen_token; /* highest token that the endpoint has seen */
+byte executed_token;     /* token of the last order that the endpoint carried out */
 
-/* The store ends the lease: its holder is paused, cut off or dead. */
-active proctype Lapse() {
+/* The lease expires, since its holder is paused, cut off from the store or dead. */
+active proctype LeaseExpiry() {
 	byte n;
 	do
 	:: n < STEWARDS * ROUNDS && key_token != 0 -> atomic { key_token = 0; n++ }
@@ -36,20 +39,20 @@
 	:: round < ROUNDS ->
 		round++;
 		token = 0;
-		/* Acquire: create-only. */
+		/* Acquire: creates the key, unless it exists. */
 		atomic {
 			if
 			:: key_token == 0 ->
 				key_token = next_token; token = next_token;
-				newest_token = next_token; next_token++
+				highest_token = next_token; next_token++
 			:: else -> skip
 			fi
 		}
 		if
 		:: token == 0 -> skip
 		:: token != 0 ->
-			/* The steward holds the task, as far as it knows; it may be
-			 * paused here for as long as it takes. */
+			/* The steward takes itself for the holder. It may be paused here for
+			 * any time. */
 			atomic {
 				if
 #ifdef FAULT_NO_FENCE
@@ -57,10 +60,10 @@
 #else
 				:: key_token == token ->
 #endif
-					assert(token == newest_token);
-					assert(token >= written_token);
-					written_token = token
-				:: else -> skip /* refused by its fencing token */
+					assert(token == highest_token);
+					assert(token >= applied_token);
+					applied_token = token
+				:: else -> skip /* the store refuses the write: the token does not match */
 				fi
 			}
 			atomic {
@@ -68,15 +71,15 @@
 #ifdef FAULT_NO_TOKEN
 				:: true ->
 #else
-				:: token >= endpoint_token ->
+				:: token >= highest_seen_token ->
 #endif
-					endpoint_token = (token > endpoint_token -> token : endpoint_token);
-					assert(token >= carried_token);
-					carried_token = token
+					highest_seen_token = (token > highest_seen_token -> token : highest_seen_token);
+					assert(token >= executed_token);
+					executed_token = token
 				:: else -> skip
 				fi
 			}
-			/* Release: compares the token. */
+			/* Release: deletes the key if it still has the steward's token. */
 			atomic {
 				if
 				:: key_token == token -> key_token = 0
