--- a/testsite/routers.go
+++ b/testsite/routers.go
@@ -66,7 +66,8 @@
 	servers  map[Host]*http.Server
 	group    *worker.Group
 	dir      string
-	version  int64
+	// version is that of the configuration that was written last.
+	version int64
 }
 
 // NewRouterSite starts a site and, unless it is unconfigured, blocks until every
--- a/testsite/site.go
+++ b/testsite/site.go
@@ -55,8 +55,10 @@
 type Options struct {
 	Entries  int
 	Stewards int
-	Engines  int
-	Plains   int
+	// Engines is the number of model engines, Plains that of the endpoints of the
+	// service "desk".
+	Engines int
+	Plains  int
 	// Engine holds the options of every engine. Without slots it is replaced by a
 	// default of a fast engine.
 	Engine standin.EngineOptions
@@ -354,17 +356,17 @@
 	wr, cl := si.Writer(ho)
 	defer cl.Close()
 	rq := configuration.Request{ChangedBy: string(ho), Place: func(key string) finding.Place { return finding.Place{Section: key} }}
-	last := map[string]int{}
+	indexByKey := map[string]int{}
 	for _, text := range texts {
 		re, err := policy.ParseRecord([]byte(text))
 		if err != nil {
 			return configuration.Result{}, err
 		}
-		if i, ok := last[re.Key()]; ok {
+		if i, ok := indexByKey[re.Key()]; ok {
 			rq.Changes[i].Record = re
 			continue
 		}
-		last[re.Key()] = len(rq.Changes)
+		indexByKey[re.Key()] = len(rq.Changes)
 		rq.Changes = append(rq.Changes, configuration.Change{Record: re})
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
