--- a/proof/bill_test.go
+++ b/proof/bill_test.go
@@ -35,7 +35,7 @@
 }
 
 func (br *billRecorder) record(got testsite.Answer) {
-	if got.Err != nil || !got.Whole {
+	if got.Err != nil || !got.Complete {
 		return
 	}
 	br.mu.Lock()
@@ -150,10 +150,10 @@
 		si.Net.Cut(testsite.Host(testsite.EntryName(1)), testsite.StoreAddress)
 		si.Store.SetFaults(standin.Faults{})
 		time.Sleep(12 * time.Second)
-		si.Net.Mend(testsite.Host(testsite.EntryName(1)), testsite.StoreAddress)
+		si.Net.Restore(testsite.Host(testsite.EntryName(1)), testsite.StoreAddress)
 		for n := 2; n <= 3; n++ {
-			si.Net.Mend(testsite.Host(testsite.EntryName(1)), testsite.PeerAddress(n))
-			si.Net.Mend(testsite.Host(testsite.EntryName(n)), testsite.PeerAddress(1))
+			si.Net.Restore(testsite.Host(testsite.EntryName(1)), testsite.PeerAddress(n))
+			si.Net.Restore(testsite.Host(testsite.EntryName(n)), testsite.PeerAddress(1))
 		}
 		time.Sleep(10 * time.Second)
 		qt.Assert(t, len(br.billIDs), qt.Equals, 20)
@@ -204,7 +204,7 @@
 				si.Net.Kill("engine-1")
 			}
 		}})
-		qt.Assert(t, an.Whole, qt.IsFalse)
+		qt.Assert(t, an.Complete, qt.IsFalse)
 		qt.Assert(t, an.Body, qt.Contains, "answer_incomplete")
 		time.Sleep(3 * time.Second)
 		qt.Assert(t, len(si.Bills().Bills), qt.Equals, 1)
--- a/proof/claim_test.go
+++ b/proof/claim_test.go
@@ -28,7 +28,7 @@
 func callUntilRun(si *testsite.Site, key string) testsite.Answer {
 	var an testsite.Answer
 	for range 40 {
-		an = si.Desk(testsite.Call{Entry: 2}, "POST", key, "{}")
+		an = si.Checkout(testsite.Call{Entry: 2}, "POST", key, "{}")
 		if an.Err == nil && an.Ran() == entry.HasRun {
 			return an
 		}
@@ -41,16 +41,16 @@
 // The same key with a different body must be refused.
 func TestRepeatAtAnotherEntryReturnsSameAnswer(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 3, Plains: 2}, func(t *testing.T, si *testsite.Site) {
-		first := si.Desk(testsite.Call{Entry: 1}, "POST", "order-1", "{}")
+		first := si.Checkout(testsite.Call{Entry: 1}, "POST", "order-1", "{}")
 		qt.Assert(t, first.Status, qt.Equals, 200)
 		for n := 1; n <= 3; n++ {
-			an := si.Desk(testsite.Call{Entry: n}, "POST", "order-1", "{}")
+			an := si.Checkout(testsite.Call{Entry: n}, "POST", "order-1", "{}")
 			qt.Assert(t, an.Body, qt.Equals, first.Body)
 			qt.Assert(t, an.Header.Get(entry.HeaderReplayed), qt.Equals, "true")
 			qt.Assert(t, an.Header.Get(entry.HeaderBill), qt.Equals, first.Header.Get(entry.HeaderBill))
 		}
 		qt.Assert(t, timesRun(si, "order-1"), qt.Equals, 1)
-		other := si.Desk(testsite.Call{Entry: 2}, "POST", "order-1", `{"another":"call"}`)
+		other := si.Checkout(testsite.Call{Entry: 2}, "POST", "order-1", `{"another":"call"}`)
 		qt.Assert(t, other.Status, qt.Equals, 422)
 		qt.Assert(t, other.Ran(), qt.Equals, entry.NotRun)
 	})
@@ -63,7 +63,7 @@
 			key := fmt.Sprintf("order-%d", round)
 			var wg sync.WaitGroup
 			for n := 1; n <= 4; n++ {
-				wg.Go(func() { si.Desk(testsite.Call{Entry: n}, "POST", key, "{}") })
+				wg.Go(func() { si.Checkout(testsite.Call{Entry: n}, "POST", key, "{}") })
 			}
 			wg.Wait()
 			qt.Assert(t, timesRun(si, key), qt.Equals, 1)
@@ -81,7 +81,7 @@
 		for round := range 6 {
 			key := fmt.Sprintf("order-%d", round)
 			si.Store.SetFaults(standin.Faults{LoseAnswers: 1 + round%3})
-			an := si.Desk(testsite.Call{Entry: 1}, "POST", key, "{}")
+			an := si.Checkout(testsite.Call{Entry: 1}, "POST", key, "{}")
 			qt.Assert(t, an.Status == 200 || an.Ran() == entry.NotRun, qt.IsTrue, qt.Commentf("%d %s", an.Status, an.Body))
 			if an.Ran() == entry.NotRun {
 				qt.Assert(t, timesRun(si, key), qt.Equals, 0)
@@ -97,10 +97,10 @@
 func TestCallsRefusedInStoreOutageAreNotRun(t *testing.T) {
 	for _, fault := range []standin.Faults{{Down: true}, {Freeze: true}} {
 		withSite(t, testsite.Options{Entries: 3, Engines: 1, Plains: 2}, func(t *testing.T, si *testsite.Site) {
-			si.Desk(testsite.Call{Entry: 1}, "POST", "before", "{}")
+			si.Checkout(testsite.Call{Entry: 1}, "POST", "before", "{}")
 			si.Store.SetFaults(fault)
 			time.Sleep(5 * time.Second)
-			an := si.Desk(testsite.Call{Entry: 1}, "POST", "order-1", "{}")
+			an := si.Checkout(testsite.Call{Entry: 1}, "POST", "order-1", "{}")
 			qt.Assert(t, an.Status, qt.Equals, 503)
 			qt.Assert(t, an.Ran(), qt.Equals, entry.NotRun)
 			qt.Assert(t, an.Header.Get("Retry-After"), qt.Not(qt.Equals), "")
@@ -119,16 +119,16 @@
 // run until the claim expires.
 func TestClaimLostInStoreOutageIsReleased(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 2, Plains: 1}, func(t *testing.T, si *testsite.Site) {
-		si.Desk(testsite.Call{Entry: 1}, "POST", "warm", "{}")
+		si.Checkout(testsite.Call{Entry: 1}, "POST", "warm", "{}")
 		// The claim is written, but the store's responses are lost for longer than
 		// the caller waits.
 		si.Store.SetFaults(standin.Faults{LoseAnswers: 1000})
-		an := si.Desk(testsite.Call{Entry: 1}, "POST", "order-1", "{}")
+		an := si.Checkout(testsite.Call{Entry: 1}, "POST", "order-1", "{}")
 		qt.Assert(t, an.Ran(), qt.Equals, entry.NotRun)
 		qt.Assert(t, timesRun(si, "order-1"), qt.Equals, 0)
 		si.Store.SetFaults(standin.Faults{})
 		time.Sleep(5 * time.Second)
-		qt.Assert(t, si.Desk(testsite.Call{Entry: 2}, "POST", "order-1", "{}").Status, qt.Equals, 200)
+		qt.Assert(t, si.Checkout(testsite.Call{Entry: 2}, "POST", "order-1", "{}").Status, qt.Equals, 200)
 		qt.Assert(t, timesRun(si, "order-1"), qt.Equals, 1)
 	})
 }
@@ -140,17 +140,17 @@
 	withSite(t, testsite.Options{Entries: 3, Plains: 1}, func(t *testing.T, si *testsite.Site) {
 		si.Plains["desk-1"].SetFaults(standin.Faults{DelayMS: 300})
 		var wg sync.WaitGroup
-		wg.Go(func() { si.Desk(testsite.Call{Entry: 1}, "POST", "order-1", "{}") })
+		wg.Go(func() { si.Checkout(testsite.Call{Entry: 1}, "POST", "order-1", "{}") })
 		time.Sleep(150 * time.Millisecond)
 		si.KillEntry(1)
 		wg.Wait()
-		an := si.Desk(testsite.Call{Entry: 2}, "POST", "order-1", "{}")
+		an := si.Checkout(testsite.Call{Entry: 2}, "POST", "order-1", "{}")
 		qt.Assert(t, an.Status, qt.Equals, 409)
 		qt.Assert(t, an.Ran(), qt.Equals, entry.RanUnknown)
 		qt.Assert(t, an.Body, qt.Contains, "call_under_way")
 		time.Sleep(10 * time.Second)
 		for n := 2; n <= 3; n++ {
-			an = si.Desk(testsite.Call{Entry: n}, "POST", "order-1", "{}")
+			an = si.Checkout(testsite.Call{Entry: n}, "POST", "order-1", "{}")
 			qt.Assert(t, an.Body, qt.Contains, "outcome_unknown")
 		}
 		qt.Assert(t, timesRun(si, "order-1") <= 1, qt.IsTrue)
@@ -179,17 +179,17 @@
 		},
 		"open connections go silent": func(si *testsite.Site) {
 			for n := 1; n <= 2; n++ {
-				si.Net.Silence(testsite.Host(testsite.EntryName(1)), testsite.PlainAddress(n))
+				si.Net.Blackhole(testsite.Host(testsite.EntryName(1)), testsite.PlainAddress(n))
 			}
 		},
 	}
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
 			withSite(t, testsite.Options{Entries: 2, Plains: 2}, func(t *testing.T, si *testsite.Site) {
-				si.Desk(testsite.Call{Entry: 1}, "POST", "warm", "{}")
+				si.Checkout(testsite.Call{Entry: 1}, "POST", "warm", "{}")
 				fault(si)
 				for _, key := range []string{"order-1", ""} {
-					an := si.Desk(testsite.Call{Entry: 1}, "POST", key, "{}")
+					an := si.Checkout(testsite.Call{Entry: 1}, "POST", key, "{}")
 					if an.Ran() == entry.NotRun {
 						qt.Assert(t, timesRun(si, key), qt.Equals, 0)
 					}
@@ -214,7 +214,7 @@
 		si.Net.Kill("desk-1")
 		for round := range 10 {
 			key := fmt.Sprintf("order-%d", round)
-			an := si.Desk(testsite.Call{Entry: 1}, "POST", key, "{}")
+			an := si.Checkout(testsite.Call{Entry: 1}, "POST", key, "{}")
 			qt.Assert(t, an.Status, qt.Equals, 200, qt.Commentf("%s", an.Body))
 			qt.Assert(t, timesRun(si, key), qt.Equals, 1)
 		}
--- a/proof/kill_test.go
+++ b/proof/kill_test.go
@@ -21,9 +21,9 @@
 	"another entry is killed": func(si *testsite.Site) { si.KillEntry(2) },
 	"connections go silent": func(si *testsite.Site) {
 		for n := 1; n <= 4; n++ {
-			si.Net.Silence(testsite.Host(testsite.EntryName(n)), testsite.StoreAddress)
-			si.Net.Silence(testsite.Host(testsite.EntryName(n)), testsite.PlainAddress(1))
-			si.Net.Silence(testsite.Host(testsite.EntryName(n)), testsite.EngineAddress(1))
+			si.Net.Blackhole(testsite.Host(testsite.EntryName(n)), testsite.StoreAddress)
+			si.Net.Blackhole(testsite.Host(testsite.EntryName(n)), testsite.PlainAddress(1))
+			si.Net.Blackhole(testsite.Host(testsite.EntryName(n)), testsite.EngineAddress(1))
 		}
 	},
 }
@@ -48,7 +48,7 @@
 					si.Plains["desk-1"].SetFaults(standin.Faults{DelayMS: 10})
 					var an testsite.Answer
 					var wg sync.WaitGroup
-					wg.Go(func() { an = si.Desk(testsite.Call{Entry: 1}, "POST", key, "{}") })
+					wg.Go(func() { an = si.Checkout(testsite.Call{Entry: 1}, "POST", key, "{}") })
 					time.Sleep(killAfter)
 					si.KillEntry(1)
 					second(si)
@@ -59,7 +59,7 @@
 					time.Sleep(time.Second)
 					endStoreFaults(si)
 					time.Sleep(10 * time.Second)
-					repeated := si.Desk(testsite.Call{Entry: 3}, "POST", key, "{}")
+					repeated := si.Checkout(testsite.Call{Entry: 3}, "POST", key, "{}")
 					qt.Check(t, timesRun(si, key) <= 1, qt.IsTrue, qt.Commentf("killed after %s: ran %d times", killAfter, timesRun(si, key)))
 					if repeated.Status == 200 {
 						qt.Check(t, timesRun(si, key), qt.Equals, 1)
@@ -93,8 +93,8 @@
 					si.KillEntry(1)
 					second(si)
 					wg.Wait()
-					if an.Whole {
-						qt.Check(t, an.Text, qt.Equals, testsite.WholeText("m-1", 5))
+					if an.Complete {
+						qt.Check(t, an.Text, qt.Equals, testsite.EngineText("m-1", 5))
 					}
 					got.record(an)
 					time.Sleep(time.Second)
--- a/proof/steward_test.go
+++ b/proof/steward_test.go
@@ -285,7 +285,7 @@
 // reconnectSteward restores the links that disconnectSteward cuts.
 func reconnectSteward(si *testsite.Site, n int) {
 	for _, li := range stewardLinks(n) {
-		si.Net.Mend(li.from, li.to)
+		si.Net.Restore(li.from, li.to)
 	}
 }
 
