--- a/rollout/sequential.go
+++ b/rollout/sequential.go
@@ -165,7 +165,7 @@
 type QualityTest struct {
 	test     SequentialTest
 	base     QualityBaseline
-	Answers  int64
+	Ratings  int64
 	margin   float64
 	expected float64
 }
@@ -194,7 +194,7 @@
 
 // Candidate adds a rating, from 0 to 1, of the candidate.
 func (qt *QualityTest) Candidate(quality float64) {
-	qt.Answers++
+	qt.Ratings++
 	qt.test.Observe(1-quality, 1-qt.acceptedQuality())
 }
 
