--- a/cascade/cascade.go
+++ b/cascade/cascade.go
@@ -55,7 +55,7 @@
 }
 
 type key struct {
-	work    WorkKind
+	kind    WorkKind
 	version policy.VersionID
 }
 
@@ -84,34 +84,34 @@
 
 // AddRating adds a rating, from 0 to 1, to the estimate. It ignores ratings of
 // new kinds of work once there are maxKinds.
-func (ch *Chooser) AddRating(work WorkKind, version policy.VersionID, quality float64) {
-	if !ch.kinds[work] && len(ch.kinds) >= maxKinds {
+func (ch *Chooser) AddRating(kind WorkKind, version policy.VersionID, quality float64) {
+	if !ch.kinds[kind] && len(ch.kinds) >= maxKinds {
 		return
 	}
-	ch.kinds[work] = true
-	es := ch.estimates[key{work, version}]
+	ch.kinds[kind] = true
+	es := ch.estimates[key{kind, version}]
 	es.weight = min(ratingWindow, es.weight+1)
 	es.mean += (quality - es.mean) / es.weight
-	ch.estimates[key{work, version}] = es
+	ch.estimates[key{kind, version}] = es
 }
 
 // SetEstimate sets the estimate for a version and a kind of work.
-func (ch *Chooser) SetEstimate(work WorkKind, version policy.VersionID, weight, mean float64) {
-	ch.kinds[work] = true
-	ch.estimates[key{work, version}] = estimate{weight: weight, mean: mean}
+func (ch *Chooser) SetEstimate(kind WorkKind, version policy.VersionID, weight, mean float64) {
+	ch.kinds[kind] = true
+	ch.estimates[key{kind, version}] = estimate{weight: weight, mean: mean}
 }
 
 // Estimate returns the weight and the mean rating for a version and a kind of
 // work; both are 0 without ratings.
-func (ch *Chooser) Estimate(work WorkKind, version policy.VersionID) (weight, mean float64) {
-	es := ch.estimates[key{work, version}]
+func (ch *Chooser) Estimate(kind WorkKind, version policy.VersionID) (weight, mean float64) {
+	es := ch.estimates[key{kind, version}]
 	return es.weight, es.mean
 }
 
 // Quality returns the expected quality of an arm: its mean rating, combined with
 // the quality stated in the policy record.
-func (ch *Chooser) Quality(work WorkKind, ar Arm) float64 {
-	es := ch.estimates[key{work, ar.Version}]
+func (ch *Chooser) Quality(kind WorkKind, ar Arm) float64 {
+	es := ch.estimates[key{kind, ar.Version}]
 	return (es.mean*es.weight + ar.Quality*priorWeight) / (es.weight + priorWeight)
 }
 
@@ -125,9 +125,9 @@
 }
 
 // Choose selects an arm for one request and updates the price of quality.
-func (ch *Chooser) Choose(work WorkKind, arms []Arm, target float64) Choice {
-	best := ch.bestArm(work, arms)
-	quality := ch.Quality(work, arms[best])
+func (ch *Chooser) Choose(kind WorkKind, arms []Arm, target float64) Choice {
+	best := ch.bestArm(kind, arms)
+	quality := ch.Quality(kind, arms[best])
 	ch.price = min(maxPrice, max(0, ch.price+priceStepSize*(target+targetMargin-quality)))
 	if len(arms) > 1 && ch.rng.Float64() < exploreShare {
 		return Choice{Index: ch.rng.IntN(len(arms)), Explored: true, Quality: quality, Price: ch.price}
@@ -137,14 +137,14 @@
 
 // bestArm returns the index of the arm with the highest value: its quality times
 // the price, less its cost relative to the most expensive arm.
-func (ch *Chooser) bestArm(work WorkKind, arms []Arm) int {
+func (ch *Chooser) bestArm(kind WorkKind, arms []Arm) int {
 	maxCost := 1.0
 	for _, ar := range arms {
 		maxCost = max(maxCost, float64(ar.Cost))
 	}
 	best, bestValue := 0, 0.0
 	for i, ar := range arms {
-		value := ch.price*ch.Quality(work, ar) - float64(ar.Cost)/maxCost
+		value := ch.price*ch.Quality(kind, ar) - float64(ar.Cost)/maxCost
 		if i == 0 || value > bestValue {
 			best, bestValue = i, value
 		}
--- a/cascade/escalation.go
+++ b/cascade/escalation.go
@@ -43,6 +43,6 @@
 	if wait >= es.TimeLeft {
 		return false
 	}
-	limit := idleThreshold - workWeight*es.Work - backlogWeight*es.Backlog*es.Backlog*es.Work - waitWeight*wait/es.TimeLeft
-	return es.Confidence < max(minThreshold, limit)
+	threshold := idleThreshold - workWeight*es.Work - backlogWeight*es.Backlog*es.Backlog*es.Work - waitWeight*wait/es.TimeLeft
+	return es.Confidence < max(minThreshold, threshold)
 }
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -40,8 +40,8 @@
 	// retention is how long claims and kept answers stay in the store: the time to
 	// live of their leases.
 	retention = 24 * time.Hour
-	// leaseRenewalInterval is how long new claims share one lease.
-	leaseRenewalInterval = time.Hour
+	// leaseReplaceInterval is how long new claims share one lease.
+	leaseReplaceInterval = time.Hour
 	// maxBatch bounds the writes in one call of the store.
 	maxBatch = 60
 	// maxAnswerBytes is the size of the largest body that is kept.
@@ -113,8 +113,8 @@
 
 // Claimer claims calls for one process.
 //
-// mu guards the lease and its renewal time. No other lock is taken while it is
-// held.
+// mu guards the lease and the time at which it is replaced. No other lock is taken
+// while it is held.
 type Claimer struct {
 	prefix      store.Key
 	store       store.Store
@@ -123,9 +123,9 @@
 	group       *worker.Group
 	queue       chan *pendingCommit
 
-	mu      sync.Mutex
-	lease   store.LeaseID
-	renewAt time.Time
+	mu        sync.Mutex
+	lease     store.LeaseID
+	replaceAt time.Time
 }
 
 // pendingCommit is the write of one claim that waits for the next call of the
@@ -338,17 +338,17 @@
 }
 
 // currentLease returns the lease for new writes, and requests a new one from the
-// store every leaseRenewalInterval.
+// store every leaseReplaceInterval.
 func (cl *Claimer) currentLease(ctx context.Context) (store.LeaseID, error) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
-	if cl.lease != 0 && time.Now().Before(cl.renewAt) {
+	if cl.lease != 0 && time.Now().Before(cl.replaceAt) {
 		return cl.lease, nil
 	}
 	id, err := cl.store.Grant(ctx, retention)
 	if err != nil {
 		return 0, err
 	}
-	cl.lease, cl.renewAt = id, time.Now().Add(leaseRenewalInterval)
+	cl.lease, cl.replaceAt = id, time.Now().Add(leaseReplaceInterval)
 	return id, nil
 }
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -92,7 +92,7 @@
 // that keeps holds calls it at least every third of the lease's time to live.
 func (ma *Manager) Renew(ctx context.Context) {
 	ma.mu.Lock()
-	id, last := ma.lease, ma.expiresAt
+	id, validUntil := ma.lease, ma.expiresAt
 	ma.mu.Unlock()
 	if id == 0 {
 		return
@@ -104,7 +104,7 @@
 		ma.mu.Lock()
 		ma.expiresAt = asked.Add(ma.ttl - ma.margin())
 		ma.mu.Unlock()
-	case err == nil || time.Now().After(last):
+	case err == nil || time.Now().After(validUntil):
 		ma.dropHolds(err)
 	}
 }
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -294,8 +294,8 @@
 		return
 	}
 	if !fa.notRun {
-		overdue := causeLabel(fa.err) == string(endpoint.CauseSilent) && time.Now().Before(at.call.deadline)
-		ro.releases.observe(at.call.service.ID, at.endpoint, rollout.Outcome{Failed: !overdue, TimedOut: overdue})
+		timedOut := causeLabel(fa.err) == string(endpoint.CauseSilent) && time.Now().Before(at.call.deadline)
+		ro.releases.observe(at.call.service.ID, at.endpoint, rollout.Outcome{Failed: !timedOut, TimedOut: timedOut})
 	}
 	ro.metrics.Attempts.Add(ctx, 1, metric.With(metric.KeyOutcome, "failed", metric.KeyCause, causeLabel(fa.err)))
 	ro.log.WarnLimited(event.AttemptFailed, fa.err, event.Fields{
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -35,8 +35,8 @@
 func (ro *Router) Refresh() {
 	now := time.Now()
 	others := map[policy.EndpointID]placement.Load{}
-	entries := ro.peers.Entries()
-	for _, mb := range entries {
+	members := ro.peers.Entries()
+	for _, mb := range members {
 		it, ok := ro.peers.Table().Get(loadPrefix + string(mb.VM))
 		var us rpc.Usage
 		if !ok || proto.Unmarshal(it.Value, &us) != nil {
@@ -49,7 +49,7 @@
 			others[policy.EndpointID(eu.GetEndpoint())] = lo
 		}
 	}
-	ro.routers.Store(int64(len(entries) + 1))
+	ro.routers.Store(int64(len(members) + 1))
 	if !ro.peers.Large() {
 		ro.balancer.SetPeerLoads(now, others)
 	}
--- a/relay/release.go
+++ b/relay/release.go
@@ -20,18 +20,18 @@
 // releaseSelector selects the release of a service that a request runs on, and
 // tests releases that are being rolled out.
 //
-// mu guards trials. The sessions' own lock is taken after it.
+// mu guards states. The sessions' own lock is taken after it.
 type releaseSelector struct {
 	router   *Router
 	sessions *sessions
 	mu       sync.Mutex
-	trials   map[policy.ServiceID]*trial
+	states   map[policy.ServiceID]*rolloutState
 }
 
-// trial is this router's state of a roll-out.
-type trial struct {
-	target policy.ReleaseID
-	health rollout.HealthTest
+// rolloutState is this router's state of a roll-out.
+type rolloutState struct {
+	candidate policy.ReleaseID
+	health    rollout.HealthTest
 	// stable counts the answers of the release in use during the roll-out.
 	stable rollout.Counts
 	// rejectionReason says why the release is bad, "" while it is not known to be.
@@ -46,7 +46,7 @@
 }
 
 func newReleaseSelector(ro *Router) *releaseSelector {
-	return &releaseSelector{router: ro, sessions: newSessions(), trials: map[policy.ServiceID]*trial{}}
+	return &releaseSelector{router: ro, sessions: newSessions(), states: map[policy.ServiceID]*rolloutState{}}
 }
 
 // endpointsFor returns the endpoints of the release selected for a call, and
@@ -57,23 +57,23 @@
 	if !ok {
 		return all, nil
 	}
-	current, target := splitByRelease(all, ro.ToVersion)
+	stable, candidate := splitByRelease(all, ro.ToVersion)
 	switch ro.State {
 	case rpc.RolloutState_DONE:
-		return target, nil
+		return candidate, nil
 	case rpc.RolloutState_ABORTED:
-		return current, nil
+		return stable, nil
 	}
 	rs.mu.Lock()
-	tr := rs.trialOf(now, ro)
-	exposed := rollout.TrialShare(rs.router.options().Rollout.GetExposedShare(), len(current))
-	share := rs.plan(ro, tr).Share(now, exposed, tr.peerAnswers+tr.health.Answers)
-	bad := tr.rejectionReason != ""
+	st := rs.stateOf(now, ro)
+	exposed := rollout.TrialShare(rs.router.options().Rollout.GetExposedShare(), len(stable))
+	share := rs.plan(ro, st).Share(now, exposed, st.peerAnswers+st.health.Answers)
+	rejected := st.rejectionReason != ""
 	rs.mu.Unlock()
-	if bad || len(target) == 0 || !rs.usesCandidate(now, ca, ro, share) {
-		return current, nil
+	if rejected || len(candidate) == 0 || !rs.usesCandidate(now, ca, ro, share) {
+		return stable, nil
 	}
-	return target, current
+	return candidate, stable
 }
 
 // usesCandidate reports whether a request goes to the release under roll-out.
@@ -95,7 +95,7 @@
 	}
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
-	return !rs.trialOf(now, ro).settledElsewhere.seenSince(hashSession(ca.request.Session), now.Add(-retention))
+	return !rs.stateOf(now, ro).settledElsewhere.seenSince(hashSession(ca.request.Session), now.Add(-retention))
 }
 
 func (rs *releaseSelector) sessionRetention() time.Duration {
@@ -115,7 +115,7 @@
 	}
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
-	rs.trialOf(now, ro).settledHere.record(now, hashSession(id))
+	rs.stateOf(now, ro).settledHere.record(now, hashSession(id))
 }
 
 // retentionFactor is how many times the setting session_keep a session is
@@ -134,26 +134,26 @@
 	return others, matching
 }
 
-// trialOf returns the trial of a roll-out. It begins a new one if there is none or
+// stateOf returns the state of a roll-out. It begins a new one if there is none or
 // the last one was of another release. The caller holds mu.
-func (rs *releaseSelector) trialOf(now time.Time, ro policy.Rollout) *trial {
+func (rs *releaseSelector) stateOf(now time.Time, ro policy.Rollout) *rolloutState {
 	id := policy.ServiceID(ro.Service)
-	tr, ok := rs.trials[id]
-	if !ok || tr.target != policy.ReleaseID(ro.ToVersion) {
-		tr = &trial{target: policy.ReleaseID(ro.ToVersion), firstSeenAt: now, settledHere: settledSessions{}, settledElsewhere: settledSessions{}}
-		rs.trials[id] = tr
-		rs.recordSettled(now, ro, tr)
+	st, ok := rs.states[id]
+	if !ok || st.candidate != policy.ReleaseID(ro.ToVersion) {
+		st = &rolloutState{candidate: policy.ReleaseID(ro.ToVersion), firstSeenAt: now, settledHere: settledSessions{}, settledElsewhere: settledSessions{}}
+		rs.states[id] = st
+		rs.recordSettled(now, ro, st)
 	}
-	return tr
+	return st
 }
 
 // recordSettled records the sessions that stay on the release in use as a trial
 // begins. The caller holds mu.
-func (rs *releaseSelector) recordSettled(now time.Time, ro policy.Rollout, tr *trial) {
+func (rs *releaseSelector) recordSettled(now time.Time, ro policy.Rollout, st *rolloutState) {
 	exposed := rs.router.options().Rollout.GetExposedShare()
 	rs.sessions.forEachSince(policy.ServiceID(ro.Service), now.Add(-rs.sessionRetention()), func(id SessionID, lr lastRequest) {
-		if lr.release != tr.target && hashFraction(ro.ToVersion, string(id)) < exposed {
-			tr.settledHere.record(lr.at, hashSession(id))
+		if lr.release != st.candidate && hashFraction(ro.ToVersion, string(id)) < exposed {
+			st.settledHere.record(lr.at, hashSession(id))
 		}
 	})
 }
@@ -168,8 +168,8 @@
 
 // plan returns the schedule of a roll-out. It begins at the recorded start or, as
 // long as there is none, when this router first saw the roll-out.
-func (rs *releaseSelector) plan(ro policy.Rollout, tr *trial) rollout.Plan {
-	started := tr.firstSeenAt
+func (rs *releaseSelector) plan(ro policy.Rollout, st *rolloutState) rollout.Plan {
+	started := st.firstSeenAt
 	if ro.StartedAtMs > 0 {
 		started = time.UnixMilli(ro.StartedAtMs)
 	}
@@ -186,27 +186,27 @@
 	}
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
-	tr := rs.trialOf(time.Now(), ro)
-	if policy.ReleaseID(en.Release) != tr.target {
-		tr.health.Stable(ou)
-		tr.stable.Observe(ou)
+	st := rs.stateOf(time.Now(), ro)
+	if policy.ReleaseID(en.Release) != st.candidate {
+		st.health.Stable(ou)
+		st.stable.Observe(ou)
 		return
 	}
-	tr.health.Candidate(ou)
-	if reason := tr.health.RejectionReason(); reason != "" {
-		rs.reject(ro, tr, reason)
+	st.health.Candidate(ou)
+	if reason := st.health.RejectionReason(); reason != "" {
+		rs.reject(ro, st, reason)
 	}
 }
 
 // reject stops sending requests to a release at this router. The caller holds mu.
-func (rs *releaseSelector) reject(ro policy.Rollout, tr *trial, reason string) {
-	if tr.rejectionReason != "" {
+func (rs *releaseSelector) reject(ro policy.Rollout, st *rolloutState, reason string) {
+	if st.rejectionReason != "" {
 		return
 	}
-	tr.rejectionReason = reason
+	st.rejectionReason = reason
 	rs.router.log.Warn(event.VersionSuspect, nil, event.Fields{
-		"service": ro.Service, "release": tr.target, "reason": reason,
-		"answers": tr.health.Answers, "failures": tr.health.Failures,
+		"service": ro.Service, "release": st.candidate, "reason": reason,
+		"answers": st.health.Answers, "failures": st.health.Failures,
 	})
 }
 
@@ -221,18 +221,18 @@
 		}
 		reports := rs.collectPeerReports(ro)
 		rs.mu.Lock()
-		tr := rs.trialOf(now, ro)
-		tr.peerAnswers = reports.target.Answers
+		st := rs.stateOf(now, ro)
+		st.peerAnswers = reports.candidate.Answers
 		for _, ha := range reports.settled {
-			tr.settledElsewhere.record(now, ha)
+			st.settledElsewhere.record(now, ha)
 		}
-		tr.settledElsewhere.prune(now.Add(-rs.sessionRetention()))
-		target := reports.target.Add(rollout.Counts{Answers: tr.health.Answers, Failures: tr.health.Failures})
+		st.settledElsewhere.prune(now.Add(-rs.sessionRetention()))
+		candidate := reports.candidate.Add(rollout.Counts{Answers: st.health.Answers, Failures: st.health.Failures})
 		switch {
 		case reports.rejectionReason != "":
-			rs.reject(ro, tr, reports.rejectionReason)
-		case target.SignificantlyWorse(reports.stable.Add(tr.stable)):
-			rs.reject(ro, tr, "failures over all routers")
+			rs.reject(ro, st, reports.rejectionReason)
+		case candidate.SignificantlyWorse(reports.stable.Add(st.stable)):
+			rs.reject(ro, st, "failures over all routers")
 		}
 		rs.mu.Unlock()
 	}
@@ -240,10 +240,10 @@
 
 // peerReports is the sum of the other routers' published results of a roll-out.
 type peerReports struct {
-	rejectionReason string
-	target, stable  rollout.Counts
-	stableInFlight  int64
-	settled         []sessionHash
+	rejectionReason   string
+	candidate, stable rollout.Counts
+	stableInFlight    int64
+	settled           []sessionHash
 }
 
 func (rs *releaseSelector) collectPeerReports(ro policy.Rollout) peerReports {
@@ -258,7 +258,7 @@
 		if he.GetSuspect() {
 			out.rejectionReason = he.GetReason()
 		}
-		out.target = out.target.Add(rollout.Counts{Answers: he.GetAnswers(), Failures: he.GetFailures()})
+		out.candidate = out.candidate.Add(rollout.Counts{Answers: he.GetAnswers(), Failures: he.GetFailures()})
 		out.stable = out.stable.Add(rollout.Counts{Answers: he.GetStableAnswers(), Failures: he.GetStableFailures()})
 		if time.Since(it.WrittenAt) < inFlightTTL {
 			out.stableInFlight += he.GetStableInFlight()
@@ -285,14 +285,14 @@
 		inFlight := rs.stableInFlight(ro)
 		rs.mu.Lock()
 		now := time.Now()
-		tr := rs.trialOf(now, ro)
-		tr.settledHere.prune(now.Add(-rs.sessionRetention()))
+		st := rs.stateOf(now, ro)
+		st.settledHere.prune(now.Add(-rs.sessionRetention()))
 		he := &rpc.VersionHealth{
-			Version: ro.ToVersion, Answers: tr.health.Answers, Failures: tr.health.Failures,
-			StableAnswers: tr.stable.Answers, StableFailures: tr.stable.Failures,
-			Suspect: tr.rejectionReason != "", Reason: tr.rejectionReason, StableInFlight: inFlight,
+			Version: ro.ToVersion, Answers: st.health.Answers, Failures: st.health.Failures,
+			StableAnswers: st.stable.Answers, StableFailures: st.stable.Failures,
+			Suspect: st.rejectionReason != "", Reason: st.rejectionReason, StableInFlight: inFlight,
 		}
-		for ha := range tr.settledHere {
+		for ha := range st.settledHere {
 			he.StableSessions = append(he.StableSessions, uint32(ha))
 		}
 		slices.Sort(he.StableSessions)
@@ -320,10 +320,10 @@
 	inFlight := ro.releases.stableInFlight(rec)
 	ro.releases.mu.Lock()
 	defer ro.releases.mu.Unlock()
-	tr := ro.releases.trialOf(now, rec)
+	st := ro.releases.stateOf(now, rec)
 	pr := rollout.Progress{
-		Plan: ro.releases.plan(rec, tr), Started: rec.StartedAtMs > 0, RejectionReason: tr.rejectionReason,
-		Answers: reports.target.Answers + tr.health.Answers, StableInFlight: reports.stableInFlight + inFlight,
+		Plan: ro.releases.plan(rec, st), Started: rec.StartedAtMs > 0, RejectionReason: st.rejectionReason,
+		Answers: reports.candidate.Answers + st.health.Answers, StableInFlight: reports.stableInFlight + inFlight,
 	}
 	if pr.RejectionReason == "" {
 		pr.RejectionReason = reports.rejectionReason
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -159,9 +159,9 @@
 		return false
 	}
 	const priorAnswers = 20
-	mean := (float64(stable.Failures) + failurePrior*priorAnswers) / (float64(stable.Answers) + priorAnswers)
-	accepted := mean + failureMargin
-	expected := accepted * float64(co.Answers)
-	deviation := math.Sqrt(max(1, expected*(1-accepted)))
+	meanRate := (float64(stable.Failures) + failurePrior*priorAnswers) / (float64(stable.Answers) + priorAnswers)
+	acceptedRate := meanRate + failureMargin
+	expected := acceptedRate * float64(co.Answers)
+	deviation := math.Sqrt(max(1, expected*(1-acceptedRate)))
 	return float64(co.Failures) > expected+minDeviations*deviation
 }
--- a/rollout/sequential.go
+++ b/rollout/sequential.go
@@ -173,7 +173,7 @@
 // QualityBaseline accumulates the mean and variance of the ratings of the version
 // in use.
 type QualityBaseline struct {
-	count, mean, squares float64
+	count, mean, squaredDeviations float64
 }
 
 // NewQualityTest returns a test without ratings. expected is the quality that the
@@ -189,7 +189,7 @@
 	ba.count++
 	delta := quality - ba.mean
 	ba.mean += delta / ba.count
-	ba.squares += delta * (quality - ba.mean)
+	ba.squaredDeviations += delta * (quality - ba.mean)
 }
 
 // Candidate adds a rating, from 0 to 1, of the candidate.
@@ -205,7 +205,7 @@
 	mean := (qt.base.mean*qt.base.count + qt.expected*priorWeight) / (qt.base.count + priorWeight)
 	spread := 0.1
 	if qt.base.count > 1 {
-		spread = math.Sqrt(qt.base.squares / (qt.base.count - 1))
+		spread = math.Sqrt(qt.base.squaredDeviations / (qt.base.count - 1))
 	}
 	return mean - qt.margin - 2*spread/math.Sqrt(qt.base.count+priorWeight)
 }
