--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -7,30 +7,31 @@
 
 const (
 	// trialEnd is the fraction of the roll-out's duration at which the trial ends
-	// at the earliest. The share of sessions on trial stays constant until then, so
-	// that no session switches between releases.
+	// at the earliest. The candidate's share of the sessions stays constant during
+	// the trial, so that no session switches between releases.
 	trialEnd = 0.52
-	// forcedEnd is the fraction of the duration after which the release in use is
-	// stopped even if requests still run on it.
+	// forcedEnd is the fraction of the duration after which the roll-out may
+	// complete although requests still run on the release in use.
 	forcedEnd = 0.88
-	// sufficientAnswers is the number of answers that ends a trial; minAnswers is
-	// the number that is enough to complete between forcedEnd and the deadline.
+	// sufficientAnswers is the number of the candidate's answers from which the
+	// trial may end and the roll-out may complete. Between forcedEnd and the
+	// deadline, minAnswers are enough to complete.
 	sufficientAnswers = 30
 	minAnswers        = 5
 	// minFailures is the number of failures, and minDeviations the number of
-	// standard deviations above the expected count, from which the failures
+	// standard deviations above the accepted count, from which the failures
 	// summed over all routers show that a release is worse.
 	minFailures   = 6
 	minDeviations = 3.5
 )
 
-// Plan is the schedule of a roll-out: a trial on a small share of the sessions,
-// then all requests, then the stop of the release in use once no request runs on
-// it.
+// Plan is the schedule of a roll-out. The candidate first gets no sessions, then
+// a small share of them during the trial, then all requests. The roll-out
+// completes once no request runs on the release in use.
 type Plan struct {
 	StartedAt time.Time
-	// TrialAt is the start of the trial, late enough for every router to know the
-	// sessions that stay on the release in use.
+	// TrialAt is the start of the trial. It is late enough for every router to
+	// know the sessions that stay on the release in use.
 	TrialAt    time.Time
 	DeadlineAt time.Time
 }
@@ -40,10 +41,11 @@
 	return pl.StartedAt.Add(time.Duration(fraction * float64(pl.DeadlineAt.Sub(pl.StartedAt))))
 }
 
-// Share returns the share of sessions, from 0 to 1, that the new release gets;
-// exposed is the share during the trial. The trial lasts until there are enough
-// answers, however long that takes: elapsed time does not show that a release is
-// good, and routers that have all restarted have no answers yet.
+// Share returns the share of sessions, from 0 to 1, that the candidate gets.
+// exposed is the share during the trial; answers is the number of the candidate's
+// answers at all routers. The trial lasts until there are enough answers, however
+// long that takes: elapsed time does not show that a release is good, and after a
+// restart of all routers there are no answers yet.
 func (pl Plan) Share(now time.Time, exposed float64, answers int64) float64 {
 	switch {
 	case now.Before(pl.TrialAt):
@@ -60,10 +62,10 @@
 
 // TrialShare returns the share of sessions for a trial, given the maximum share
 // and the number of endpoints of the release in use. With many endpoints a
-// smaller share yields enough answers, and fewer sessions move to routers that
-// have not yet learned which release they are on. The share is halved for each
-// doubling of the endpoints, so that routers with slightly different counts use
-// the same share.
+// smaller share yields enough answers, and fewer sessions reach a router that has
+// not yet learned which release they run on. The share changes only in steps, by
+// half for each doubling of the endpoints, so that routers with slightly different
+// counts use the same share.
 func TrialShare(maxShare float64, endpoints int) float64 {
 	for n := endpoints; n >= 2*fullTrialEndpoints; n /= 2 {
 		maxShare /= 2
@@ -79,9 +81,9 @@
 	ActionNone Action = iota
 	// ActionStart records the start time.
 	ActionStart
-	// ActionAbort rejects the new release.
+	// ActionAbort ends the roll-out and keeps the release in use.
 	ActionAbort
-	// ActionComplete stops the release in use.
+	// ActionComplete ends the roll-out and stops the release in use.
 	ActionComplete
 )
 
@@ -90,10 +92,9 @@
 	Plan
 	// Started reports whether the start time has been recorded.
 	Started bool
-	// RejectionReason says why the release is bad; it is "" for one not known to be
-	// bad.
+	// RejectionReason says why the candidate was rejected; it is "" if it was not.
 	RejectionReason string
-	// Answers is the number of answers of the new release.
+	// Answers is the number of the candidate's answers, including failures.
 	Answers int64
 	// StableInFlight is the number of requests still running on the release in use.
 	StableInFlight int64
@@ -109,16 +110,19 @@
 	case pr.readyToComplete(now):
 		return ActionComplete
 	case now.After(pr.DeadlineAt):
-		// There were too few answers by the deadline, after which nobody waits
-		// for the roll-out any more.
+		// There were too few answers by the deadline, and nobody waits for the
+		// roll-out any more.
 		return ActionAbort
 	}
 	return ActionNone
 }
 
+// readyToComplete reports whether the candidate has enough answers to replace the
+// release in use. After the deadline it still may, in case no router could record
+// the completion earlier because the store did not answer.
 func (pr Progress) readyToComplete(now time.Time) bool {
-	// Requests admitted to the release in use just before the trial ended are
-	// counted only after the routers' next exchange.
+	// StableInFlight includes the requests admitted to the release in use just
+	// before the trial ended only after the routers' next exchange.
 	const exchangeDelay = 1500 * time.Millisecond
 	switch {
 	case now.Before(pr.timeAt(trialEnd).Add(exchangeDelay)):
@@ -153,7 +157,9 @@
 }
 
 // SignificantlyWorse reports whether there are more failures than chance
-// explains, given those of the release in use.
+// explains, given the counts of the release in use. It accepts the failure rate of
+// the release in use plus failureMargin. That rate is estimated as if
+// priorAnswers answers at the rate failurePrior had been counted before.
 func (co Counts) SignificantlyWorse(stable Counts) bool {
 	if co.Failures < minFailures {
 		return false
--- a/rollout/plan_test.go
+++ b/rollout/plan_test.go
@@ -25,8 +25,8 @@
 	qt.Assert(t, pl.Share(at(3), 0.1, 1000), qt.Equals, 0.1)
 	qt.Assert(t, pl.Share(at(12), 0.1, 1000), qt.Equals, 0.1)
 	qt.Assert(t, pl.Share(at(13), 0.1, 1000), qt.Equals, 1.0)
-	// A router that has just started has seen hardly any answers: elapsed time
-	// alone must not end the trial.
+	// Elapsed time alone must not end the trial: after a restart of all routers
+	// there are hardly any answers.
 	qt.Assert(t, pl.Share(at(23), 0.1, 3), qt.Equals, 0.1)
 }
 
@@ -64,10 +64,10 @@
 }
 
 // TestLoadOnAGoodReleaseIsNoFailure guards against rolling back a good release
-// because of time-outs under load, as happened on versehall quiet-1. When all
-// requests move to the new release, its caches are cold and one request in twelve
-// times out waiting for the first token; the release in use has similar time-outs
-// under the same load. Time-outs must not count as failures.
+// because of time-outs under load, as happened in the benchmark run versehall
+// quiet-1. When all requests move to the candidate, its caches are cold and one
+// request in twelve times out waiting for the first token; the release in use has
+// similar time-outs under the same load. Time-outs must not count as failures.
 func TestLoadOnAGoodReleaseIsNoFailure(t *testing.T) {
 	var ht rollout.HealthTest
 	for i := range 400 {
--- a/rollout/sequential.go
+++ b/rollout/sequential.go
@@ -1,11 +1,15 @@
-// Package rollout decides whether a candidate version is worse than the one in
-// use.
+// Package rollout decides whether a candidate is worse than the version in use,
+// and when a roll-out goes on to its next step. Entries roll out versions of
+// models and routers roll out releases of services; the tests are the same for
+// both, and "version" in their comments includes releases. "Stable" in a name
+// refers to the version in use.
 //
 // A SequentialTest is a sequential test by betting (Waudby-Smith and Ramdas,
-// 2024). For losses from 0 to 1 whose mean is at most the accepted one, the
-// probability that the wealth of the bets ever exceeds 1/alpha is at most alpha.
-// The test can therefore be evaluated after every answer and stops a bad version
-// early.
+// 2024). It starts with a wealth of 1 and bets at each loss that the mean loss is
+// above the accepted one. For losses from 0 to 1 whose mean is at most the
+// accepted one, the probability that the wealth ever exceeds 1/alpha is at most
+// alpha. The test can therefore be evaluated after every answer and stops a bad
+// version early.
 package rollout
 
 import (
@@ -17,8 +21,8 @@
 // alpha is the maximum probability that one test rejects a good version.
 const alpha = 0.003
 
-// bets are the fractions of the wealth that are staked; the test averages over
-// them.
+// bets are the fractions of the wealth that are staked at each loss. The test
+// keeps one wealth for each of them and evaluates their mean.
 var bets = [...]float64{0.05, 0.15, 0.4, 0.8}
 
 // SequentialTest accumulates evidence that a mean loss is above the accepted one.
@@ -49,7 +53,7 @@
 	return top + math.Log(sum/float64(len(bets)))
 }
 
-// Rejects reports whether the candidate is bad.
+// Rejects reports whether the evidence suffices to reject the candidate.
 func (st *SequentialTest) Rejects() bool { return st.LogEvidence() > -math.Log(alpha) }
 
 // Baseline estimates the mean loss of the version in use.
@@ -68,8 +72,8 @@
 }
 
 // AcceptedLoss returns the largest mean loss of a good candidate: the baseline's
-// mean, two standard errors and a margin. prior is the mean assumed before any
-// loss is observed.
+// mean plus two standard errors and the margin. prior is the mean assumed before
+// any loss is observed; it counts as much as priorWeight losses.
 func (ba *Baseline) AcceptedLoss(prior, margin float64) float64 {
 	const priorWeight = 20
 	mean := (ba.mean*ba.count + prior*priorWeight) / (ba.count + priorWeight)
@@ -78,6 +82,8 @@
 }
 
 const (
+	// The priors and margins are the arguments of AcceptedLoss for failures and for
+	// slow first tokens.
 	failurePrior  = 0.005
 	failureMargin = 0.01
 	slowPrior     = 0.05
@@ -90,16 +96,17 @@
 // Outcome is the result of one attempt, as seen by the entry or router.
 type Outcome struct {
 	Failed bool
-	// FirstToken is the time to the first token in seconds, or its ratio to the
-	// expected time; it is 0 when unknown.
+	// FirstToken is the time to the first token, in seconds at entries and as a
+	// ratio to the expected time at routers; it is 0 when unknown.
 	FirstToken float64
 	// TimedOut reports whether the wait for the first token timed out. This happens
 	// to good versions under load too, so it counts as slow, not as a failure.
 	TimedOut bool
 }
 
-// HealthTest rejects a candidate by errors, silence and slow first tokens, which
-// are visible at once. It is not safe for concurrent use.
+// HealthTest rejects a candidate by failures and slow first tokens, which are
+// known without waiting for ratings. Answers and Failures count the candidate's
+// outcomes; Answers includes the failures. It is not safe for concurrent use.
 type HealthTest struct {
 	failures       SequentialTest
 	slow           SequentialTest
@@ -161,7 +168,8 @@
 	return 0
 }
 
-// QualityTest rejects a candidate by ratings. It is not safe for concurrent use.
+// QualityTest rejects a candidate by ratings. Ratings counts those of the
+// candidate. It is not safe for concurrent use.
 type QualityTest struct {
 	test     SequentialTest
 	base     QualityBaseline
@@ -170,8 +178,8 @@
 	expected float64
 }
 
-// QualityBaseline accumulates the mean and variance of the ratings of the version
-// in use.
+// QualityBaseline accumulates the mean of the ratings of the version in use and the
+// sum of their squared deviations from it (Welford's algorithm).
 type QualityBaseline struct {
 	count, mean, squaredDeviations float64
 }
@@ -199,7 +207,8 @@
 }
 
 // acceptedQuality returns the lowest mean quality of a good candidate: the
-// baseline's mean, less the margin and two standard errors.
+// baseline's mean, less the margin and two standard errors. The quality stated in
+// the policy record counts as much as priorWeight ratings.
 func (qt *QualityTest) acceptedQuality() float64 {
 	const priorWeight = 5
 	mean := (qt.base.mean*qt.base.count + qt.expected*priorWeight) / (qt.base.count + priorWeight)
@@ -210,11 +219,11 @@
 	return mean - qt.margin - 2*spread/math.Sqrt(qt.base.count+priorWeight)
 }
 
-// Rejects reports whether the candidate is worse than accepted.
+// Rejects reports whether the ratings suffice to reject the candidate.
 func (qt *QualityTest) Rejects() bool { return qt.test.Rejects() }
 
-// NextShare returns the share of the step after the roll-out's current one. It
-// returns the current share and false at the last step.
+// NextShare returns the candidate's share at the roll-out's next step. It returns
+// the current share and false at the last step.
 func NextShare(ro policy.Rollout) (float64, bool) {
 	for _, st := range ro.Steps {
 		if st > ro.Share {
--- a/rollout/trial_share_test.go
+++ b/rollout/trial_share_test.go
@@ -10,8 +10,9 @@
 
 // TestTrialTakesFewerSessionsOfManyEndpoints guards against sessions that switch
 // releases as a trial begins. At 112 endpoints and a trial share of a tenth, 6 to
-// 15 sessions went on at routers that did not yet know which release they were
-// on; the PINNED rule allows at most three. It was seen on both grown sites.
+// 15 sessions switched, because they continued at routers that did not yet know
+// which release they ran on. At most three may (rule PINNED of the benchmark). It
+// was seen at both of its enlarged sites.
 func TestTrialTakesFewerSessionsOfManyEndpoints(t *testing.T) {
 	const maxShare = 0.1
 	for _, tt := range []struct {
