--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -26,18 +26,19 @@
 	maxBufferedBody = 8 << 20
 	// eventStreamType is the media type of an answer that is a stream of events.
 	eventStreamType = "text/event-stream"
-	// streamWaitFactor is the multiple of the route's target that the first event
-	// of a stream may take before another endpoint is tried;
-	// bufferedWaitFactor is the same for a buffered answer.
+	// streamWaitFactor is the multiple of the route's latency target that the first
+	// event of a stream may take before another endpoint is tried;
+	// bufferedWaitFactor is the same for the head of a buffered answer.
 	streamWaitFactor   = 0.75
 	bufferedWaitFactor = 2.0
 	// minWaitFactor is the multiple of the estimated wait that an endpoint is
-	// always given.
+	// given in any case before another one is tried.
 	minWaitFactor = 4
 	// eventGapFactor is the multiple of the route's target for the gap between
-	// events after which a silent stream counts as broken.
+	// events that a stream may be silent; after that it counts as broken.
 	eventGapFactor = 1.25
-	// defaultEventGap is the limit for routes without a target for the gap.
+	// defaultEventGap is how long the stream of a route without such a target may
+	// be silent.
 	defaultEventGap = 2 * time.Second
 )
 
@@ -68,7 +69,7 @@
 	header http.Header
 	body   []byte
 	// stream is nil for buffered answers. firstEvent has already been read from
-	// it.
+	// it, and is empty if the stream has no events.
 	stream     *eventReader
 	firstEvent streamEvent
 	source     *endpoint.CarriedAnswer
@@ -92,6 +93,8 @@
 	return nil, fa
 }
 
+// chooseEndpoint chooses an endpoint for a call and counts the request there. It
+// returns a failure if none may get the request.
 func (ro *Router) chooseEndpoint(ca *call) (*attempt, *failure) {
 	rq, now := ca.request, time.Now()
 	key := latencyKey{ca.service.ID, ca.modelID()}
@@ -112,9 +115,9 @@
 	return &attempt{router: ro, call: ca, placement: pl, endpoint: pl.Endpoint, sentAt: now}, nil
 }
 
-// meanBacklog returns the mean work queued at an endpoint. In a group too large
-// for routers to exchange their loads, every other router is assumed to have
-// this router's average backlog.
+// meanBacklog returns the mean work queued at an endpoint by all routers. In a
+// group too large for routers to exchange their loads, every other router is
+// assumed to have queued as much as this router does on average over time.
 func (ro *Router) meanBacklog(now time.Time, id policy.ServiceID, ens []policy.Endpoint) placement.Work {
 	mean := ro.balancer.MeanBacklog(now, ens)
 	if !ro.peers.Large() {
@@ -146,6 +149,7 @@
 	if err != nil {
 		fa := failureOf(err)
 		if fa.notRun {
+			// Nothing was sent, so this does not count towards the route's maximum.
 			ca.sends--
 		}
 		return nil, fa
@@ -279,8 +283,9 @@
 	}
 }
 
-// fail records a failed attempt. It is neutral for the endpoint if the caller
-// cancelled or caused the failure, or if there was no time left to send.
+// fail records a failed attempt. If the caller cancelled or caused the failure, or
+// if there was no time left to send, the attempt is neutral: it counts neither
+// against the endpoint nor against its release, and is not logged.
 func (at *attempt) fail(ctx context.Context, fa *failure) {
 	ro, result := at.router, placement.Failed
 	switch {
@@ -294,6 +299,9 @@
 		return
 	}
 	if !fa.notRun {
+		// If the wait for a silent endpoint ended before the call's deadline, the
+		// endpoint may only be slow under load. Silence until the deadline is a
+		// failure.
 		timedOut := causeLabel(fa.err) == string(endpoint.CauseSilent) && time.Now().Before(at.call.deadline)
 		ro.releases.observe(at.call.service.ID, at.endpoint, rollout.Outcome{Failed: !timedOut, TimedOut: timedOut})
 	}
@@ -318,7 +326,8 @@
 	}
 }
 
-// discard closes an answer of which the caller has received nothing.
+// discard closes an answer of which the caller has received nothing. For the
+// endpoint the attempt counts as a success.
 func (an *answer) discard() {
 	an.source.Close()
 	an.finish(placement.Succeeded)
--- a/relay/backlog.go
+++ b/relay/backlog.go
@@ -9,12 +9,13 @@
 	"tanagerpoint.example/tanager/policy"
 )
 
-// backlogSmoothing is the time constant of the average of a router's own backlog.
-// In large groups the average stands for the other routers' backlogs too; a single
-// sample would not do, since it is often one request or none.
+// backlogSmoothing is the time constant of the moving average of a router's own
+// backlog. In large groups every other router is assumed to have the same
+// average; a single sample would not do, since it is often one request or none.
 const backlogSmoothing = 1500 * time.Millisecond
 
-// backlogAverages holds the average of the mean backlog of each service's endpoints.
+// backlogAverages holds for each service the moving average over time of the mean
+// backlog of its endpoints.
 //
 // mu guards the map. No other lock is taken while it is held.
 type backlogAverages struct {
--- a/relay/budget.go
+++ b/relay/budget.go
@@ -9,17 +9,20 @@
 )
 
 const (
-	// usedBudgetShare is the share of the site's retry budget that the routers use.
-	// The rest allows for requests in flight, by which the routers' counts differ
-	// from the endpoints'.
+	// usedBudgetShare is the share of the retry budget in the settings that the
+	// routers use. The rest allows for requests in flight, by which the routers'
+	// counts differ from the endpoints'.
 	usedBudgetShare = 0.85
-	// escalationShare is the share of the budget open to restarts on a larger
-	// model; the rest is reserved for requests that failed.
+	// escalationShare is the share of the budget that may be used to send requests
+	// again to the largest model; the rest is reserved for retries of failed
+	// attempts.
 	escalationShare = 0.88
-	// failureShare is the share of the budget open to requests that failed.
+	// failureShare is the share of the budget that retries of failed attempts may
+	// use.
 	failureShare = 1
-	// minRouterCount is the smallest number of routers that the slack is divided
-	// by, as a router that has just started does not know the others yet.
+	// minRouterCount is the smallest number of routers among which the setting
+	// retry_slack is divided, as a router that has just started does not know the
+	// others yet.
 	minRouterCount = 8
 )
 
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -19,7 +19,8 @@
 func (ro *Router) Publish() {
 	ro.releases.publish()
 	if ro.peers.Large() {
-		// In large groups the endpoints' own load reports are more recent.
+		// In large groups the load that the endpoints report in their answers is
+		// more recent than what the routers would exchange.
 		return
 	}
 	us := &rpc.Usage{}
--- a/relay/fleet.go
+++ b/relay/fleet.go
@@ -11,12 +11,13 @@
 )
 
 const (
-	// maxLoadPerSlot is the number of requests of all routers per slot at which an
-	// endpoint gets no more. Further requests are better off at another endpoint
-	// or back at the caller.
+	// maxLoadPerSlot is the number of requests per slot, summed over all routers,
+	// at which an endpoint gets no more. Further requests had better wait at
+	// another endpoint or be retried by the caller.
 	maxLoadPerSlot = 2
-	// connectionShare is the share of an endpoint's connection limit that is used.
-	// The rest allows for connections that are still closing.
+	// connectionShare is the share of the service's limit of connections to one
+	// endpoint that the routers use together. The rest allows for connections that
+	// are still closing.
 	connectionShare = 0.8
 )
 
@@ -30,8 +31,8 @@
 	revision  store.Revision
 	built     bool
 	byService map[policy.ServiceID][]policy.Endpoint
-	// lapsed holds endpoints that disappeared while the store was unsteady, with
-	// the time until which they are still used.
+	// lapsed holds endpoints that disappeared from the policy during or shortly
+	// after an outage of the store, with the time until which they are still used.
 	lapsed map[policy.EndpointID]lapsedEndpoint
 }
 
@@ -88,8 +89,10 @@
 	})
 }
 
-// retainLapsed keeps endpoints that disappear while the store is unsteady. Their
-// registrations may have expired only because they could not be renewed.
+// retainLapsed keeps the endpoints that the new policy no longer contains, if the
+// store is unavailable or has been available for at most store_settle. Their
+// registrations may have expired only because they could not be renewed. They are
+// kept for lapse_grace. The caller holds mu.
 func (fl *fleet) retainLapsed(now time.Time, se *policy.Set) {
 	for id, le := range fl.lapsed {
 		if _, back := se.Endpoints.ByID(id); back || now.After(le.until) {
@@ -124,7 +127,8 @@
 }
 
 // retryAfter returns how long the caller of a request that found no free endpoint
-// should wait before it tries again.
+// should wait before it tries again. It is longer on routes with a less strict
+// latency target.
 func (fl *fleet) retryAfter(ca *call) time.Duration {
 	if ca.route.Target() < defaultRetryDelay {
 		return defaultRetryDelay
--- a/relay/release.go
+++ b/relay/release.go
@@ -18,7 +18,8 @@
 const healthPrefix = "release/"
 
 // releaseSelector selects the release of a service that a request runs on, and
-// tests releases that are being rolled out.
+// tests releases that are being rolled out. In a roll-out, the candidate is the
+// new release; "stable" in a name refers to the release in use.
 //
 // mu guards states. The sessions' own lock is taken after it.
 type releaseSelector struct {
@@ -34,12 +35,12 @@
 	health    rollout.HealthTest
 	// stable counts the answers of the release in use during the roll-out.
 	stable rollout.Counts
-	// rejectionReason says why the release is bad, "" while it is not known to be.
+	// rejectionReason says why the candidate was rejected, "" if it was not.
 	rejectionReason string
 	// settledHere and settledElsewhere are the sessions that stay on the release
 	// in use, as seen by this router and as published by the others.
 	settledHere, settledElsewhere settledSessions
-	// peerAnswers is the number of the new release's answers at the other routers.
+	// peerAnswers is the number of the candidate's answers at the other routers.
 	peerAnswers int64
 	// firstSeenAt is when this router first saw the roll-out.
 	firstSeenAt time.Time
@@ -76,9 +77,10 @@
 	return candidate, stable
 }
 
-// usesCandidate reports whether a request goes to the release under roll-out.
-// A running session stays on its release; new sessions are assigned by the share.
-// A request that failed on the candidate is retried on the release in use.
+// usesCandidate reports whether a request goes to the candidate. At a share of 1
+// every request does. Below that, a running session stays on its release and new
+// sessions are assigned by the share. A request that has failed at any endpoint is
+// retried on the release in use.
 func (rs *releaseSelector) usesCandidate(now time.Time, ca *call, ro policy.Rollout, share float64) bool {
 	if share >= 1 {
 		return true
@@ -98,11 +100,14 @@
 	return !rs.stateOf(now, ro).settledElsewhere.seenSince(hashSession(ca.request.Session), now.Add(-retention))
 }
 
+// sessionRetention returns how long a session is remembered after it was last seen.
 func (rs *releaseSelector) sessionRetention() time.Duration {
 	return retentionFactor * rs.router.options().Serving.GetSessionKeep().AsDuration()
 }
 
-// recordSend records the release that a session's request is sent to.
+// recordSend records the release that a session's request is sent to. If that is
+// the release in use and the session's hash may assign it to the candidate during
+// the trial, it records for the other routers that the session is settled.
 func (rs *releaseSelector) recordSend(now time.Time, ca *call, en policy.Endpoint) {
 	id := ca.request.Session
 	if id == "" {
@@ -118,9 +123,9 @@
 	rs.stateOf(now, ro).settledHere.record(now, hashSession(id))
 }
 
-// retentionFactor is how many times the setting session_keep a session is
-// remembered. session_keep runs from the end of the session's previous request,
-// which may itself take long.
+// retentionFactor is the multiple of the setting session_keep for which a session
+// is remembered. session_keep runs from the end of a session's previous request,
+// but the router remembers when it was sent, and it may itself take long.
 const retentionFactor = 2
 
 func splitByRelease(ens []policy.Endpoint, release string) (others, matching []policy.Endpoint) {
@@ -134,8 +139,8 @@
 	return others, matching
 }
 
-// stateOf returns the state of a roll-out. It begins a new one if there is none or
-// the last one was of another release. The caller holds mu.
+// stateOf returns the state of a roll-out. It creates one if there is none or if
+// the service's last roll-out had another candidate. The caller holds mu.
 func (rs *releaseSelector) stateOf(now time.Time, ro policy.Rollout) *rolloutState {
 	id := policy.ServiceID(ro.Service)
 	st, ok := rs.states[id]
@@ -147,8 +152,8 @@
 	return st
 }
 
-// recordSettled records the sessions that stay on the release in use as a trial
-// begins. The caller holds mu.
+// recordSettled records which running sessions are settled on the release in use
+// when this router first sees a roll-out. The caller holds mu.
 func (rs *releaseSelector) recordSettled(now time.Time, ro policy.Rollout, st *rolloutState) {
 	exposed := rs.router.options().Rollout.GetExposedShare()
 	rs.sessions.forEachSince(policy.ServiceID(ro.Service), now.Add(-rs.sessionRetention()), func(id SessionID, lr lastRequest) {
@@ -159,10 +164,11 @@
 }
 
 const (
-	// trialDelay is how long routers in a small group take to exchange the
-	// sessions that stay on the release in use.
+	// trialDelay is the time from the start of a roll-out to its trial in a small
+	// group. Routers take this long to exchange the sessions that stay on the
+	// release in use. In larger groups the delay is longer.
 	trialDelay = 2500 * time.Millisecond
-	// maxTrialDelayShare limits that delay to a share of the roll-out's duration.
+	// maxTrialDelayShare limits the delay to a share of the roll-out's duration.
 	maxTrialDelayShare = 0.3
 )
 
@@ -198,7 +204,8 @@
 	}
 }
 
-// reject stops sending requests to a release at this router. The caller holds mu.
+// reject makes this router send no more requests to a candidate. The caller holds
+// mu.
 func (rs *releaseSelector) reject(ro policy.Rollout, st *rolloutState, reason string) {
 	if st.rejectionReason != "" {
 		return
@@ -210,7 +217,7 @@
 	})
 }
 
-// refresh applies the other routers' results. A release that any router rejected
+// refresh applies the other routers' results. A candidate that any router rejected
 // is rejected here too, and so is one whose failures are few at each router but
 // too many in total.
 func (rs *releaseSelector) refresh() {
@@ -238,7 +245,9 @@
 	}
 }
 
-// peerReports is the sum of the other routers' published results of a roll-out.
+// peerReports holds the other routers' published results of a roll-out, summed
+// over them. rejectionReason is that of a router that rejected the candidate, ""
+// if none did.
 type peerReports struct {
 	rejectionReason   string
 	candidate, stable rollout.Counts
@@ -270,8 +279,8 @@
 	return out
 }
 
-// inFlightTTL is how long a router's published requests in flight and sessions
-// are used.
+// inFlightTTL is how long the requests in flight and the settled sessions that a
+// router has published are used. Its counts of answers and failures do not expire.
 const inFlightTTL = 4 * time.Second
 
 func healthKey(service, vm string) string { return healthPrefix + service + "/" + vm }
--- a/relay/request.go
+++ b/relay/request.go
@@ -17,7 +17,8 @@
 	"tanagerpoint.example/tanager/policy"
 )
 
-// RequestID identifies one send of a request by a caller; it is not used again.
+// RequestID identifies a request as a caller sent it. A caller that sends the same
+// request again uses another id.
 type RequestID string
 
 // SessionID identifies a session of a caller.
--- a/relay/router.go
+++ b/relay/router.go
@@ -34,6 +34,7 @@
 // Router serves the requests of routes. It is safe for concurrent use; each
 // part documents its own lock, and which others are taken after it.
 type Router struct {
+	// current holds the options in force.
 	current   atomic.Pointer[Options]
 	holder    *configuration.Holder
 	client    *endpoint.Client
--- a/relay/run.go
+++ b/relay/run.go
@@ -28,6 +28,7 @@
 			ro.deliver(ctx, wr, ca, an)
 			return nil
 		}
+		// The caller gets the last failure, preferably one with an endpoint's answer.
 		if fa.answer != nil || last == nil || last.answer == nil {
 			last = fa
 		}
@@ -35,8 +36,8 @@
 			return ro.writeFailure(ctx, wr, ca, last)
 		}
 		if fa.notRun && ca.model > 0 {
-			// No capacity for the larger model: the small model's answer is better
-			// than none.
+			// The endpoint did not run the larger model, as when it has no capacity
+			// for it: the small model's answer is better than none.
 			ca.model, ca.noEscalation = 0, true
 		}
 	}
@@ -147,7 +148,8 @@
 // failure is the result of an attempt without an answer to deliver.
 type failure struct {
 	err error
-	// notRun reports whether the attempt certainly did not run the request.
+	// notRun reports whether it is certain that the attempt did not run the
+	// request.
 	notRun bool
 	// noEndpoint reports whether there was no endpoint to send to.
 	noEndpoint bool
--- a/relay/session.go
+++ b/relay/session.go
@@ -68,9 +68,9 @@
 
 func hashSession(id SessionID) sessionHash { return sessionHash(xxhash.Sum64String(string(id))) }
 
-// settledSessions holds sessions that would be assigned to the trial by their hash
-// but stay on the release in use, with the time at which each was last seen by
-// this router or published by another one.
+// settledSessions holds sessions that stay on the release in use although their
+// hash would assign them to the candidate during the trial. For each it holds the
+// time at which it was last seen by this router or published by another one.
 type settledSessions map[sessionHash]time.Time
 
 // record records that a session was seen.
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -25,8 +25,8 @@
 	callerWriteTimeout = 10 * time.Second
 	readBufferSize     = 4096
 	// resumePause is the delay before a stream is resumed. When several endpoints
-	// crash at once, it leaves time for the others to show that they are down,
-	// before one of them is selected.
+	// crash at once, the router needs this time to notice that the others are down
+	// too, and would otherwise select one of them.
 	resumePause = 40 * time.Millisecond
 )
 
@@ -112,11 +112,11 @@
 	}
 }
 
-// errCallerGone marks a failure to write to the caller.
+// errCallerGone marks an error of a write to the caller.
 var errCallerGone = eris.New("the caller has gone")
 
-// forward writes the events of one endpoint's stream to the caller. It returns nil
-// at the end of the stream.
+// forward writes the events of one endpoint's stream to the caller, except those
+// that the caller has received before. It returns nil at the end of the stream.
 func (sr *streamRelay) forward(an *answer) error {
 	for ev := an.firstEvent; ; {
 		if len(ev.text) == 0 {
@@ -168,6 +168,7 @@
 			return next
 		}
 		if fa == nil {
+			// A buffered answer cannot continue a stream.
 			next.discard()
 			return nil
 		}
