--- a/cascade/cascade.go
+++ b/cascade/cascade.go
@@ -25,7 +25,8 @@
 	priorWeight = 4
 	// ratingWindow is the number of most recent ratings that an estimate averages.
 	ratingWindow = 150
-	// priceStepSize is the step size of the price update.
+	// priceStepSize is the change of the price for each unit by which the expected
+	// quality of a choice is below the target. maxPrice bounds the price.
 	priceStepSize = 0.25
 	maxPrice      = 200
 	// exploreShare is the share of requests sent to a random model, so that a
@@ -33,11 +34,12 @@
 	exploreShare = 0.02
 	// maxKinds is the maximum number of kinds of work with their own estimates.
 	maxKinds = 256
-	// targetMargin is added to the target to allow for errors of the estimates.
+	// targetMargin is added to the quality target to allow for errors of the
+	// estimates.
 	targetMargin = 0.002
 )
 
-// Arm is a model that can be selected.
+// Arm is a model that can be selected, in the terms of bandit algorithms.
 type Arm struct {
 	Model   policy.ModelID
 	Version policy.VersionID
@@ -82,8 +84,8 @@
 // multiple of the most expensive arm's cost.
 func (ch *Chooser) Price() float64 { return ch.price }
 
-// AddRating adds a rating, from 0 to 1, to the estimate. It ignores ratings of
-// new kinds of work once there are maxKinds.
+// AddRating adds a rating, from 0 to 1, to the estimate for a version and a kind of
+// work. Once there are maxKinds, it ignores ratings of new kinds.
 func (ch *Chooser) AddRating(kind WorkKind, version policy.VersionID, quality float64) {
 	if !ch.kinds[kind] && len(ch.kinds) >= maxKinds {
 		return
@@ -115,8 +117,9 @@
 	return (es.mean*es.weight + ar.Quality*priorWeight) / (es.weight + priorWeight)
 }
 
-// Choice is the selected arm, with the values that led to it. Quality is the
-// expected quality of the best arm, also when another was explored.
+// Choice is the selected arm, with the values that led to it. Explored reports
+// whether the arm was selected at random. Quality is the expected quality of the
+// best arm even then, and Price the price after its update for this request.
 type Choice struct {
 	Index    int
 	Explored bool
@@ -124,7 +127,8 @@
 	Price    float64
 }
 
-// Choose selects an arm for one request and updates the price of quality.
+// Choose selects an arm for one request and updates the price of quality. target
+// is the mean quality to reach, from 0 to 1; arms must not be empty.
 func (ch *Chooser) Choose(kind WorkKind, arms []Arm, target float64) Choice {
 	best := ch.bestArm(kind, arms)
 	quality := ch.Quality(kind, arms[best])
--- a/cascade/escalation.go
+++ b/cascade/escalation.go
@@ -2,25 +2,26 @@
 
 const (
 	// idleThreshold is the confidence, from 0 to 100, below which a small model's
-	// answer is discarded when all endpoints are idle and the large model needs
-	// no time. Work and backlog lower it.
+	// answer is discarded if all endpoints are idle and the large model needs no
+	// time. The work of the large model, the backlog and the wait lower it.
 	idleThreshold = 85
 	// minThreshold is the lowest threshold: an answer with less confidence is
 	// discarded at any load, if there is time left.
 	minThreshold = 12
-	// workWeight is how far each second of work lowers the threshold.
-	// backlogWeight is how far it is lowered for each second of work times the
-	// square of the backlog in seconds.
+	// workWeight is the number of points by which each second of work lowers the
+	// threshold. backlogWeight is multiplied by the work and by the square of the
+	// backlog, both in seconds. The square lets almost idle endpoints escalate
+	// freely.
 	workWeight    = 50
 	backlogWeight = 600
-	// waitWeight is how far the threshold is lowered when the expected wait uses
-	// all the time left.
+	// waitWeight is the number of points by which the threshold is lowered if the
+	// expected wait uses all the time left; a shorter wait lowers it in proportion.
 	waitWeight = 20
 )
 
-// Escalation is the input to the decision whether to discard an answer that a
-// small model has begun, before any of it has reached the caller, and to run the
-// request on the largest model instead. It is designed for loads in which most
+// Escalation is the input to the decision whether to run a request again on the
+// largest model and to discard the answer that a small model has begun, of which
+// nothing has reached the caller yet. It is designed for loads in which most
 // requests are easy and the large model takes many times as long: starting with
 // the small model costs little and shows which requests need the large one.
 // As the backlog grows, long prompts are the first to stay on the small model,
--- a/cascade/escalation_test.go
+++ b/cascade/escalation_test.go
@@ -8,10 +8,10 @@
 	"tanagerpoint.example/tanager/cascade"
 )
 
-// TestBacklogKeepsLongPromptsOnSmallModel checks that a growing backlog stops
-// escalation of long prompts before that of short ones: at an equally low
-// confidence both escalate on idle endpoints, but only the short one at a backlog
-// of 0.4 s.
+// TestBacklogKeepsLongPromptsOnSmallModel checks that a growing backlog stops the
+// escalation of long prompts before that of short ones. With the same low
+// confidence, both escalate while the endpoints are idle, but only the short one at
+// a backlog of 0.4 s.
 func TestBacklogKeepsLongPromptsOnSmallModel(t *testing.T) {
 	long := cascade.Escalation{Confidence: 40, Work: 0.6, TimeLeft: 6}
 	short := cascade.Escalation{Confidence: 40, Work: 0.05, TimeLeft: 1}
