--- a/retry/retry.go
+++ b/retry/retry.go
@@ -3,8 +3,8 @@
 
 import "sync"
 
-// Budget is a token bucket of retries, which each received request fills by a
-// fraction of a retry.
+// Budget is a token bucket of retries. Each received request adds a fraction of a
+// retry to it, up to limit.
 //
 // mu guards all fields. No other lock is taken while it is held.
 type Budget struct {
--- a/retry/window.go
+++ b/retry/window.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// bucketCount is the number of buckets in the length of a window.
+// bucketCount is the number of buckets into which the length of a window is divided.
 const bucketCount = 10
 
 // Window is a retry budget over a sliding window of time: it allows retries in
 // proportion to the requests received in the window. It is made for many
 // requests that fail at the same moment after a time with few failures: the
-// whole allowance of the window is then available at once. Each retry is allowed
-// by the requests of the window that ends with it.
+// whole allowance of the window is then available at once. For each retry, the
+// window is the one that ends at that moment.
 //
 // mu guards all fields. No other lock is taken while it is held.
 type Window struct {
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -48,8 +48,9 @@
 }
 
 // TestNoWindowHasMoreThanRequestsAllow takes every retry it can at random times.
-// Each retry is allowed by the requests of the window that ends with it, so the
-// retries within one window are bounded by the requests of two windows.
+// Each retry is limited by the requests of the window that ends at it. The earliest
+// retry of a window may thus use requests received up to a window's length before
+// it, so the retries of one window are bounded by the requests of two.
 func TestNoWindowHasMoreThanRequestsAllow(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		wi := retry.NewWindow(start, length, 0.5, 3)
