--- a/lease/lease.go
+++ b/lease/lease.go
@@ -1,8 +1,8 @@
 // Package lease assigns each task to one daemon at a time by leases in the
-// store. A task's fencing token is the revision at which its key was created.
-// Changes are conditional on the token, so that a holder that was paused until
-// after its lease expired changes nothing. The protocol is modelled in
-// spec/lease.pml.
+// store. A task's fencing token is the revision at which its key was created. The
+// changes that a task makes are conditional on the token, so that a holder that
+// was paused until after its lease expired changes nothing. The protocol is
+// modelled in spec/lease.pml.
 package lease
 
 import (
@@ -34,7 +34,7 @@
 }
 
 // Fence returns the condition of configuration changes under this hold: the
-// task's key must still have the token.
+// task's key must still have the token as its revision.
 func (ho Hold) Fence() *configuration.Fence {
 	return &configuration.Fence{Key: ho.key, Token: ho.Token}
 }
@@ -62,8 +62,8 @@
 	return &Manager{prefix: prefix + "lease/", store: st, owner: owner, ttl: ttl, log: lo, holds: map[Task]Hold{}}
 }
 
-// margin returns the time by which a lease is taken to end before its time to
-// live is over, for the time that the store's answer took and for clock drift.
+// margin returns how much earlier than its time to live a lease counts as expired
+// here. It allows for the time that the store's answer took and for clock drift.
 func (ma *Manager) margin() time.Duration { return ma.ttl / 5 }
 
 // Holds returns the hold of a task, and reports whether this daemon holds it and
@@ -88,8 +88,10 @@
 	return out
 }
 
-// Renew renews the lease, or drops all holds when the lease has expired. A daemon
-// that keeps holds calls it at least every third of the lease's time to live.
+// Renew renews the lease. It drops all holds when the store has ended the lease,
+// or when the lease has expired by this process's clock and could not be renewed.
+// A daemon that keeps holds calls it at least every third of the lease's time to
+// live.
 func (ma *Manager) Renew(ctx context.Context) {
 	ma.mu.Lock()
 	id, validUntil := ma.lease, ma.expiresAt
@@ -109,8 +111,8 @@
 	}
 }
 
-// dropHolds drops the lease and all holds after it expired; err is why it could
-// not be renewed, nil when the store ended it.
+// dropHolds drops the lease, which has expired, and all holds under it. err is why
+// it could not be renewed, nil when the store has ended it.
 func (ma *Manager) dropHolds(err error) {
 	ma.mu.Lock()
 	defer ma.mu.Unlock()
@@ -149,11 +151,13 @@
 	}
 	token := ou.Revision
 	if len(ou.Found) == 1 {
+		// An earlier try of this write, whose answer was lost, created the key.
 		token = ou.Found[0].ModRevision
 	}
 	ma.mu.Lock()
 	defer ma.mu.Unlock()
 	if ma.lease != id {
+		// The lease was dropped during the write, and the key ends with it.
 		return false, nil
 	}
 	ma.holds[ta] = Hold{Task: ta, Token: token, Since: time.Now(), key: key}
@@ -181,7 +185,9 @@
 	return id, nil
 }
 
-// Release releases a task. It does nothing when the task is not held.
+// Release releases a task, so that other daemons can acquire it at once. It does
+// nothing when the task is not held. After an error the task may stay taken until
+// the lease ends.
 func (ma *Manager) Release(ctx context.Context, ta Task) error {
 	ma.mu.Lock()
 	ho, ok := ma.holds[ta]
