--- a/claim/batch.go
+++ b/claim/batch.go
@@ -10,10 +10,9 @@
 	"tanagerpoint.example/tanager/store"
 )
 
-// submit queues a write for the next call of the store and blocks until its
-// result. The error is store.ErrUnavailable when ctx ended or the claimer was
-// closed before the write was queued, and store.ErrUnknown when ctx ended
-// afterwards.
+// submit queues a write for the next batch and blocks until its result. The error
+// is store.ErrUnavailable when ctx ended or the claimer was closed before the
+// write was queued, and store.ErrUnknown when ctx ended afterwards.
 func (cl *Claimer) submit(ctx context.Context, co store.Commit) result {
 	pc := &pendingCommit{commit: co, done: make(chan result, 1)}
 	select {
@@ -31,8 +30,9 @@
 	}
 }
 
-// runBatches makes one call of the store at a time, with the writes that were
-// queued during the call before. Writes of the same key go into separate calls.
+// runBatches sends writes to the store in batches, one batch at a time. A batch
+// holds the writes that were queued while the last one was being applied. Writes
+// of the same key go into separate batches.
 func (cl *Claimer) runBatches(ctx context.Context) {
 	var waiting []*pendingCommit
 	for {
@@ -54,7 +54,8 @@
 	}
 }
 
-// collect appends the queued writes, up to maxBatch, without waiting.
+// collect appends queued writes until there are maxBatch. It does not wait for
+// more to be queued.
 func (cl *Claimer) collect(waiting []*pendingCommit) []*pendingCommit {
 	for len(waiting) < maxBatch {
 		select {
@@ -68,7 +69,7 @@
 }
 
 // firstByKey returns the first write of each key, and the rest, which wait for
-// the next call.
+// the next batch.
 func firstByKey(all []*pendingCommit) (batch, rest []*pendingCommit) {
 	var keys []store.Key
 	for _, pc := range all {
@@ -83,7 +84,7 @@
 	return batch, rest
 }
 
-// applyBatch makes one call of the store with the writes, and sends each its
+// applyBatch applies the writes in one request to the store, and sends each its
 // result.
 func (cl *Claimer) applyBatch(ctx context.Context, pcs []*pendingCommit) {
 	cos := make([]store.Commit, len(pcs))
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -40,9 +40,10 @@
 	// retention is how long claims and kept answers stay in the store: the time to
 	// live of their leases.
 	retention = 24 * time.Hour
-	// leaseReplaceInterval is how long new claims share one lease.
+	// leaseReplaceInterval is how long new claims and kept answers share one
+	// lease before later ones get a new lease.
 	leaseReplaceInterval = time.Hour
-	// maxBatch bounds the writes in one call of the store.
+	// maxBatch is the maximum number of writes in one request to the store.
 	maxBatch = 60
 	// maxAnswerBytes is the size of the largest body that is kept.
 	maxAnswerBytes = 64 << 10
@@ -52,7 +53,8 @@
 	releaseWait = time.Second
 )
 
-// Errors of Claim. After each of them the caller has not run the call.
+// Errors of Claim. With either of them the call was not claimed for the caller,
+// which has not run it and must not run it.
 var (
 	// ErrUnavailable means that the store cannot write claims now.
 	ErrUnavailable = eris.New("claim: store unavailable")
@@ -128,8 +130,7 @@
 	replaceAt time.Time
 }
 
-// pendingCommit is the write of one claim that waits for the next call of the
-// store.
+// pendingCommit is the write of one claim that waits for the next batch.
 type pendingCommit struct {
 	commit store.Commit
 	done   chan result
@@ -185,9 +186,11 @@
 		case err != nil:
 			return nil, Record{}, errors.Join(ErrUnavailable, err)
 		case revision == 0:
-			// The released claim that was compared has expired in the meantime.
+			// The released claim, whose revision was compared, has expired in the
+			// meantime.
 			compare = 0
 		case found.OperationID == ho.record.OperationID && found.State == Claimed:
+			// An earlier try of this write, whose outcome was unknown, took effect.
 			ho.revision = revision
 			return ho, Record{}, nil
 		case found.Fingerprint != fp:
@@ -195,6 +198,7 @@
 		case found.State != Released:
 			return nil, found, nil
 		default:
+			// A released claim of the same call is replaced.
 			compare = revision
 		}
 	}
@@ -202,8 +206,8 @@
 
 // writeClaim writes a claim, and writes it again while the outcome is unknown.
 // The write is conditional on the key's revision, so it takes effect only once.
-// When the outcome is still unknown when ctx ends, the claim is released in the
-// background, since nothing was sent under it.
+// If the outcome is still unknown when ctx ends, the claim is released in the
+// background, since the call was not sent under it.
 func (cl *Claimer) writeClaim(ctx context.Context, ho *Hold, compare store.Revision, lease store.LeaseID) (store.Outcome, error) {
 	co := ho.commit(ho.record, compare, lease)
 	unknown := false
@@ -215,6 +219,7 @@
 		if !unknown && !errors.Is(re.err, store.ErrUnknown) && ctx.Err() == nil {
 			return store.Outcome{}, re.err
 		}
+		// From now on no error shows that the claim was not written.
 		unknown = true
 		if !worker.Sleep(ctx, resolveWait) {
 			cl.log.Warn(event.ClaimUnresolved, re.err, event.Fields{"key": ho.key})
@@ -225,7 +230,8 @@
 }
 
 // commit returns the write of a record under the hold's key, on condition that
-// the key has the revision compare, which is 0 when it must not exist.
+// the key has the revision compare. A compare of 0 means that the key must not
+// exist.
 func (ho *Hold) commit(re Record, compare store.Revision, lease store.LeaseID) store.Commit {
 	value, err := json.Marshal(re)
 	if err != nil {
@@ -237,8 +243,8 @@
 	}
 }
 
-// decodeFound returns the record that a failed condition found and its revision,
-// which is 0 when the key does not exist.
+// decodeFound decodes what the store returned for a write whose condition failed.
+// It returns the record and its revision, which is 0 when the key does not exist.
 func decodeFound(kvs []store.KeyValue) (Record, store.Revision, error) {
 	if len(kvs) == 0 {
 		return Record{}, 0, nil
@@ -312,7 +318,7 @@
 	if found.OperationID == re.OperationID && found.State == re.State {
 		return nil
 	}
-	return eris.Errorf("claim was not written: found state %q under operation %q", found.State, found.OperationID)
+	return eris.Errorf("claim: final state was not written: the store has state %q of operation %q instead", found.State, found.OperationID)
 }
 
 // releaseUnresolved releases a claim whose write may have taken effect, or may
