--- a/relay/release.go
+++ b/relay/release.go
@@ -79,8 +79,8 @@
 
 // usesCandidate reports whether a request goes to the candidate. At a share of 1
 // every request does. Below that, a running session stays on its release and new
-// sessions are assigned by the share. A request that has failed at any endpoint is
-// retried on the release in use.
+// sessions are assigned by the share, but a request that has failed at any
+// endpoint is retried on the release in use.
 func (rs *releaseSelector) usesCandidate(now time.Time, ca *call, ro policy.Rollout, share float64) bool {
 	if share >= 1 {
 		return true
--- a/rollout/sequential.go
+++ b/rollout/sequential.go
@@ -1,7 +1,7 @@
 // Package rollout decides whether a candidate is worse than the version in use,
-// and when a roll-out goes on to its next step. Entries roll out versions of
-// models and routers roll out releases of services; the tests are the same for
-// both, and "version" in their comments includes releases. "Stable" in a name
+// and when a roll-out goes on to its next step. Versions of models are rolled out
+// by stewards and entries, releases of services by routers. The tests are the same
+// for both, and "version" in their comments includes releases. "Stable" in a name
 // refers to the version in use.
 //
 // A SequentialTest is a sequential test by betting (Waudby-Smith and Ramdas,
