--- a/cascade/cascade.go
+++ b/cascade/cascade.go
@@ -25,7 +25,8 @@
 	priorWeight = 4
 	// ratingWindow is the number of most recent ratings that an estimate averages.
 	ratingWindow = 150
-	// priceStepSize is the step size of the price update.
+	// priceStepSize is the change of the price for each unit by which the expected
+	// quality of a choice is below the target. maxPrice bounds the price.
 	priceStepSize = 0.25
 	maxPrice      = 200
 	// exploreShare is the share of requests sent to a random model, so that a
@@ -33,11 +34,12 @@
 	exploreShare = 0.02
 	// maxKinds is the maximum number of kinds of work with their own estimates.
 	maxKinds = 256
-	// targetMargin is added to the target to allow for errors of the estimates.
+	// targetMargin is added to the quality target to allow for errors of the
+	// estimates.
 	targetMargin = 0.002
 )
 
-// Arm is a model that can be selected.
+// Arm is a model that can be selected, in the terms of bandit algorithms.
 type Arm struct {
 	Model   policy.ModelID
 	Version policy.VersionID
@@ -55,7 +57,7 @@
 }
 
 type key struct {
-	work    WorkKind
+	kind    WorkKind
 	version policy.VersionID
 }
 
@@ -82,41 +84,42 @@
 // multiple of the most expensive arm's cost.
 func (ch *Chooser) Price() float64 { return ch.price }
 
-// AddRating adds a rating, from 0 to 1, to the estimate. It ignores ratings of
-// new kinds of work once there are maxKinds.
-func (ch *Chooser) AddRating(work WorkKind, version policy.VersionID, quality float64) {
-	if !ch.kinds[work] && len(ch.kinds) >= maxKinds {
+// AddRating adds a rating, from 0 to 1, to the estimate for a version and a kind of
+// work. Once there are maxKinds, it ignores ratings of new kinds.
+func (ch *Chooser) AddRating(kind WorkKind, version policy.VersionID, quality float64) {
+	if !ch.kinds[kind] && len(ch.kinds) >= maxKinds {
 		return
 	}
-	ch.kinds[work] = true
-	es := ch.estimates[key{work, version}]
+	ch.kinds[kind] = true
+	es := ch.estimates[key{kind, version}]
 	es.weight = min(ratingWindow, es.weight+1)
 	es.mean += (quality - es.mean) / es.weight
-	ch.estimates[key{work, version}] = es
+	ch.estimates[key{kind, version}] = es
 }
 
 // SetEstimate sets the estimate for a version and a kind of work.
-func (ch *Chooser) SetEstimate(work WorkKind, version policy.VersionID, weight, mean float64) {
-	ch.kinds[work] = true
-	ch.estimates[key{work, version}] = estimate{weight: weight, mean: mean}
+func (ch *Chooser) SetEstimate(kind WorkKind, version policy.VersionID, weight, mean float64) {
+	ch.kinds[kind] = true
+	ch.estimates[key{kind, version}] = estimate{weight: weight, mean: mean}
 }
 
 // Estimate returns the weight and the mean rating for a version and a kind of
 // work; both are 0 without ratings.
-func (ch *Chooser) Estimate(work WorkKind, version policy.VersionID) (weight, mean float64) {
-	es := ch.estimates[key{work, version}]
+func (ch *Chooser) Estimate(kind WorkKind, version policy.VersionID) (weight, mean float64) {
+	es := ch.estimates[key{kind, version}]
 	return es.weight, es.mean
 }
 
 // Quality returns the expected quality of an arm: its mean rating, combined with
 // the quality stated in the policy record.
-func (ch *Chooser) Quality(work WorkKind, ar Arm) float64 {
-	es := ch.estimates[key{work, ar.Version}]
+func (ch *Chooser) Quality(kind WorkKind, ar Arm) float64 {
+	es := ch.estimates[key{kind, ar.Version}]
 	return (es.mean*es.weight + ar.Quality*priorWeight) / (es.weight + priorWeight)
 }
 
-// Choice is the selected arm, with the values that led to it. Quality is the
-// expected quality of the best arm, also when another was explored.
+// Choice is the selected arm, with the values that led to it. Explored reports
+// whether the arm was selected at random. Quality is the expected quality of the
+// best arm even then, and Price the price after its update for this request.
 type Choice struct {
 	Index    int
 	Explored bool
@@ -124,10 +127,11 @@
 	Price    float64
 }
 
-// Choose selects an arm for one request and updates the price of quality.
-func (ch *Chooser) Choose(work WorkKind, arms []Arm, target float64) Choice {
-	best := ch.bestArm(work, arms)
-	quality := ch.Quality(work, arms[best])
+// Choose selects an arm for one request and updates the price of quality. target
+// is the mean quality to reach, from 0 to 1; arms must not be empty.
+func (ch *Chooser) Choose(kind WorkKind, arms []Arm, target float64) Choice {
+	best := ch.bestArm(kind, arms)
+	quality := ch.Quality(kind, arms[best])
 	ch.price = min(maxPrice, max(0, ch.price+priceStepSize*(target+targetMargin-quality)))
 	if len(arms) > 1 && ch.rng.Float64() < exploreShare {
 		return Choice{Index: ch.rng.IntN(len(arms)), Explored: true, Quality: quality, Price: ch.price}
@@ -137,14 +141,14 @@
 
 // bestArm returns the index of the arm with the highest value: its quality times
 // the price, less its cost relative to the most expensive arm.
-func (ch *Chooser) bestArm(work WorkKind, arms []Arm) int {
+func (ch *Chooser) bestArm(kind WorkKind, arms []Arm) int {
 	maxCost := 1.0
 	for _, ar := range arms {
 		maxCost = max(maxCost, float64(ar.Cost))
 	}
 	best, bestValue := 0, 0.0
 	for i, ar := range arms {
-		value := ch.price*ch.Quality(work, ar) - float64(ar.Cost)/maxCost
+		value := ch.price*ch.Quality(kind, ar) - float64(ar.Cost)/maxCost
 		if i == 0 || value > bestValue {
 			best, bestValue = i, value
 		}
