--- a/admission/admission.go
+++ b/admission/admission.go
@@ -64,8 +64,8 @@
 func LatestStart(arrived, deadline time.Time, expected time.Duration) time.Time {
 	safe := deadline.Add(-time.Duration(serviceTimeP97Factor * float64(expected)))
 	likely := deadline.Add(-expected)
-	if prompt := arrived.Add(maxStartDelay); prompt.Before(likely) {
-		likely = prompt
+	if soon := arrived.Add(maxStartDelay); soon.Before(likely) {
+		likely = soon
 	}
 	if safe.After(likely) {
 		return safe
--- a/admission/fleet.go
+++ b/admission/fleet.go
@@ -155,7 +155,7 @@
 // tier returns overShare or withinShare: whether an organisation is over its
 // fair share of its rank's work.
 func (rq *rankQueue) tier(or *orgQueue) int {
-	fair := rq.usage * or.share / rq.knownShares
+	fair := rq.usage * or.weight / rq.totalWeight
 	if or.localUsage+or.peerUsage > overShareTolerance*fair {
 		return overShare
 	}
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -71,10 +71,10 @@
 	levels [levelsPerRank]level
 	orgs   map[policy.OrganisationID]*orgQueue
 	ready  orgHeap
-	// waitingShares is the sum of the weights of the organisations with waiting
-	// requests, knownShares that of all organisations in orgs.
-	waitingShares float64
-	knownShares   float64
+	// waitingWeight is the sum of the weights of the organisations with waiting
+	// requests, totalWeight that of all organisations in orgs.
+	waitingWeight float64
+	totalWeight   float64
 	// usage is the sum of the organisations' local and peer usage.
 	usage float64
 }
@@ -84,7 +84,7 @@
 // of the organisations does not change as time passes.
 type orgQueue struct {
 	id         policy.OrganisationID
-	share      float64
+	weight     float64
 	localUsage float64
 	peerUsage  float64
 	queuedCost Cost
@@ -92,7 +92,7 @@
 	index      int
 }
 
-func (or *orgQueue) score() float64 { return (or.localUsage + or.peerUsage) / or.share }
+func (or *orgQueue) score() float64 { return (or.localUsage + or.peerUsage) / or.weight }
 
 // NewQueue returns an empty queue without capacity, in which at most maxWaiting
 // requests wait.
@@ -196,11 +196,11 @@
 	if qu.waiting == 0 && float64(qu.running) < float64(qu.capacity) {
 		return now
 	}
-	shares := rq.waitingShares
+	total := rq.waitingWeight
 	if len(or.tickets) == 0 {
-		shares += or.share
+		total += or.weight
 	}
-	ahead := min(float64(rq.queuedCost), float64(or.queuedCost+co)*shares/or.share)
+	ahead := min(float64(rq.queuedCost), float64(or.queuedCost+co)*total/or.weight)
 	rate := qu.availableShare(rq) * float64(qu.capacity) / qu.secondsPerCost
 	return now.Add(time.Duration(ahead / rate * float64(time.Second)))
 }
@@ -231,8 +231,8 @@
 		if worst == nil {
 			continue
 		}
-		mine := float64(or.queuedCost) / or.share
-		if qu.ranks[i] == rq && float64(worst.queuedCost)/worst.share <= mine {
+		mine := float64(or.queuedCost) / or.weight
+		if qu.ranks[i] == rq && float64(worst.queuedCost)/worst.weight <= mine {
 			return nil
 		}
 		return worst.tickets[len(worst.tickets)-1]
@@ -245,7 +245,7 @@
 func (rq *rankQueue) mostQueued() *orgQueue {
 	var worst *orgQueue
 	for _, or := range rq.ready {
-		if worst == nil || float64(or.queuedCost)/or.share > float64(worst.queuedCost)/worst.share {
+		if worst == nil || float64(or.queuedCost)/or.weight > float64(worst.queuedCost)/worst.weight {
 			worst = or
 		}
 	}
@@ -376,7 +376,7 @@
 	qu.waiting++
 	if len(or.tickets) == 1 {
 		heap.Push(&rq.ready, or)
-		rq.waitingShares += or.share
+		rq.waitingWeight += or.weight
 	}
 }
 
@@ -390,22 +390,22 @@
 	qu.waiting--
 	if len(or.tickets) == 0 {
 		heap.Remove(&rq.ready, or.index)
-		rq.waitingShares -= or.share
+		rq.waitingWeight -= or.weight
 	}
 }
 
 // org returns an organisation's state within the rank, which it creates when
 // there is none. A changed weight takes effect when nothing is waiting.
-func (rq *rankQueue) org(id policy.OrganisationID, share float64) *orgQueue {
+func (rq *rankQueue) org(id policy.OrganisationID, weight float64) *orgQueue {
 	or, ok := rq.orgs[id]
 	if !ok {
-		or = &orgQueue{id: id, share: share, index: -1}
+		or = &orgQueue{id: id, weight: weight, index: -1}
 		rq.orgs[id] = or
-		rq.knownShares += share
+		rq.totalWeight += weight
 	}
 	if len(or.tickets) == 0 {
-		rq.knownShares += share - or.share
-		or.share = share
+		rq.totalWeight += weight - or.weight
+		or.weight = weight
 	}
 	return or
 }
--- a/admission/usage.go
+++ b/admission/usage.go
@@ -50,7 +50,7 @@
 			or.localUsage *= scale
 			or.peerUsage *= scale
 			if or.score() < minActiveScore && len(or.tickets) == 0 {
-				rq.knownShares -= or.share
+				rq.totalWeight -= or.weight
 				delete(rq.orgs, id)
 				continue
 			}
--- a/bill/bill.go
+++ b/bill/bill.go
@@ -146,7 +146,7 @@
 // and to notify the holders.
 func (bo *Book) Close(ctx context.Context) {
 	bo.group.Close()
-	bo.closeOpen()
+	bo.closeBatch()
 	bo.sealClosed(ctx)
 	bo.notifySealed(ctx)
 }
@@ -200,7 +200,7 @@
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
 	if len(bo.open.bills)+len(bills) > maxBatch {
-		bo.closeOpenLocked()
+		bo.closeBatchLocked()
 	}
 	bo.open.bills = append(bo.open.bills, bills...)
 	for _, ad := range holders {
@@ -211,13 +211,13 @@
 	return bo.open
 }
 
-func (bo *Book) closeOpen() {
+func (bo *Book) closeBatch() {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
-	bo.closeOpenLocked()
+	bo.closeBatchLocked()
 }
 
-func (bo *Book) closeOpenLocked() {
+func (bo *Book) closeBatchLocked() {
 	if len(bo.open.bills) == 0 {
 		return
 	}
@@ -252,7 +252,7 @@
 		case <-ctx.Done():
 		}
 		tm.Stop()
-		bo.closeOpen()
+		bo.closeBatch()
 		bo.sealClosed(ctx)
 		bo.notifySealed(ctx)
 		worker.Sleep(ctx, minSealInterval)
--- a/configuration/watcher.go
+++ b/configuration/watcher.go
@@ -175,8 +175,8 @@
 		}
 		next = max(next, no.Revision+1)
 		wa.holder.Confirm(wa.holder.Set().Revision, time.Now())
-		if rest := wa.batchDelay(); rest > 0 && len(no.Changes) > 0 {
-			worker.Sleep(ctx, rest)
+		if delay := wa.batchDelay(); delay > 0 && len(no.Changes) > 0 {
+			worker.Sleep(ctx, delay)
 		}
 	})
 	if ctx.Err() != nil {
--- a/configuration/writer.go
+++ b/configuration/writer.go
@@ -154,10 +154,10 @@
 
 // checkConflict returns a *Conflict if a record that the request writes has changed
 // since its base revision or, without one, since the first read.
-func (rq Request) checkConflict(first, now *policy.Set) error {
+func (rq Request) checkConflict(first, current *policy.Set) error {
 	for _, ch := range rq.Changes {
 		ki, id := policy.Kind(ch.Record.GetKind()), ch.Record.GetId()
-		theirs, revision, _ := now.Record(ki, id)
+		theirs, revision, _ := current.Record(ki, id)
 		base := ch.Base
 		if base == 0 {
 			_, base, _ = first.Record(ki, id)
@@ -214,9 +214,9 @@
 func (wr *Writer) commit(ctx context.Context, rq Request, changed []policy.Record, head store.Revision, operation string) (store.Outcome, error) {
 	// The operation's history key shows whether an attempt whose answer was lost
 	// has been applied.
-	mark := wr.keys.History(changed[0].Key()) + store.Key(operation)
+	historyKey := wr.keys.History(changed[0].Key()) + store.Key(operation)
 	co := store.Commit{
-		Compares: []store.Compare{{Key: wr.keys.Head(), ModRevision: head}, {Key: mark}},
+		Compares: []store.Compare{{Key: wr.keys.Head(), ModRevision: head}, {Key: historyKey}},
 		Puts:     []store.Put{{Key: wr.keys.Head(), Value: []byte(operation)}},
 	}
 	if rq.Fence != nil {
@@ -228,7 +228,7 @@
 			store.Put{Key: wr.keys.History(re.Key()) + store.Key(operation), Value: re.JSON})
 	}
 	return store.ApplyResolved(ctx, wr.store, co, func(found []store.KeyValue) bool {
-		return slices.ContainsFunc(found, func(kv store.KeyValue) bool { return kv.Key == mark })
+		return slices.ContainsFunc(found, func(kv store.KeyValue) bool { return kv.Key == historyKey })
 	})
 }
 
--- a/peer/member.go
+++ b/peer/member.go
@@ -53,8 +53,8 @@
 
 // Preferred reports whether this daemon should be among the first to try for a
 // task: whether rendezvous hashing ranks it among the first live daemons of its
-// role, where first is their number.
-func (gr *Group) Preferred(task string, first int) bool {
+// role, where n is their number.
+func (gr *Group) Preferred(task string, n int) bool {
 	weigh := func(id vm.ID) uint64 { return xxhash.Sum64String(string(id) + "\x00" + task) }
 	own, before := weigh(gr.VM()), 0
 	for _, mb := range gr.Members() {
@@ -62,7 +62,7 @@
 			before++
 		}
 	}
-	return before < first
+	return before < n
 }
 
 // LastHeard returns the time of the last heartbeat of an incarnation, received
@@ -109,22 +109,22 @@
 // updateMembers records the live members and their number, and logs which have
 // joined or failed since the last call.
 func (gr *Group) updateMembers() {
-	now := map[string]Member{}
+	live := map[string]Member{}
 	for _, mb := range gr.Members() {
-		now[mb.Role+"/"+string(mb.VM)] = mb
+		live[mb.Role+"/"+string(mb.VM)] = mb
 	}
 	gr.mu.Lock()
 	before := gr.lastMembers
-	gr.lastMembers = now
+	gr.lastMembers = live
 	gr.mu.Unlock()
-	gr.size.Store(int64(len(now) + 1))
-	for key := range now {
+	gr.size.Store(int64(len(live) + 1))
+	for key := range live {
 		if _, ok := before[key]; !ok {
 			gr.log.Info(event.MemberJoined, event.Fields{"member": key})
 		}
 	}
 	for key := range before {
-		if _, ok := now[key]; !ok {
+		if _, ok := live[key]; !ok {
 			gr.log.Warn(event.MemberFailed, nil, event.Fields{"member": key})
 		}
 	}
--- a/placement/balancer.go
+++ b/placement/balancer.go
@@ -63,9 +63,9 @@
 	peers Load
 	// reported is the number of requests that the endpoint last reported, and
 	// ownAtReport this router's requests in flight there at that time.
-	reported      int
-	ownAtReport   int
-	reportedUntil time.Time
+	reported        int
+	ownAtReport     int
+	reportExpiresAt time.Time
 	// pending holds this router's jobs whose answer has not begun.
 	pending map[JobID]pendingJob
 	// slowdown is the moving average of the measured time until an answer begins
@@ -189,7 +189,7 @@
 	if now.Before(ba.peersUntil) {
 		load.Running += es.peers.Running
 		load.Backlog += es.peers.Backlog
-	} else if now.Before(es.reportedUntil) {
+	} else if now.Before(es.reportExpiresAt) {
 		load.Running = max(load.Running, es.reported+es.own.Running-es.ownAtReport)
 	}
 	wait := load.Backlog + Work(load.Running)*streamDelay
@@ -246,7 +246,7 @@
 	ba.mu.Lock()
 	defer ba.mu.Unlock()
 	es := ba.state(id)
-	es.reported, es.ownAtReport, es.reportedUntil = requests, es.own.Running, now.Add(endpointReportLifetime)
+	es.reported, es.ownAtReport, es.reportExpiresAt = requests, es.own.Running, now.Add(endpointReportLifetime)
 }
 
 // MeanBacklog returns the mean backlog of the endpoints.
--- a/placement/balancer_test.go
+++ b/placement/balancer_test.go
@@ -63,15 +63,15 @@
 func TestStuckEndpointIsLeftBeforeItAnswers(t *testing.T) {
 	ba := placement.NewBalancer(1, "")
 	stuck := policy.EndpointID("e3")
-	var out []placement.Assignment
-	now, late := begin, 0
+	var unanswered []placement.Assignment
+	now, lateChoices := begin, 0
 	for i := range 400 {
 		as, ok := ba.Choose(now, engines(9), placement.Job{Work: 0.05}, nil, anyEndpoint)
 		qt.Assert(t, ok, qt.IsTrue)
 		if as.Endpoint.ID == stuck {
-			out = append(out, as)
+			unanswered = append(unanswered, as)
 			if i > 100 {
-				late++
+				lateChoices++
 			}
 		} else {
 			ba.AnswerStarted(as, 50*time.Millisecond)
@@ -79,21 +79,21 @@
 		}
 		now = now.Add(10 * time.Millisecond)
 	}
-	qt.Assert(t, len(out) > 0, qt.IsTrue)
-	qt.Assert(t, late, qt.Equals, 0)
+	qt.Assert(t, len(unanswered) > 0, qt.IsTrue)
+	qt.Assert(t, lateChoices, qt.Equals, 0)
 }
 
 // TestFailingEndpointGetsLess has one of three endpoints fail half of its
 // requests. It must get far less than a third of them.
 func TestFailingEndpointGetsLess(t *testing.T) {
 	ba := placement.NewBalancer(1, "")
-	now, there := begin, 0
+	now, toFailing := begin, 0
 	for i := range 300 {
 		as, ok := ba.Choose(now, engines(3), placement.Job{Work: 0.03}, nil, anyEndpoint)
 		qt.Assert(t, ok, qt.IsTrue)
 		re := placement.Succeeded
 		if as.Endpoint.ID == "e1" {
-			there++
+			toFailing++
 			if i%2 == 0 {
 				re = placement.AnsweredWithError
 			}
@@ -102,10 +102,10 @@
 		ba.Done(now, as, re)
 		now = now.Add(20 * time.Millisecond)
 	}
-	qt.Assert(t, there < 40, qt.IsTrue, qt.Commentf("%d of 300", there))
+	qt.Assert(t, toFailing < 40, qt.IsTrue, qt.Commentf("%d of 300", toFailing))
 }
 
-func TestOthersLoadCounts(t *testing.T) {
+func TestPeerLoadsCount(t *testing.T) {
 	ba := placement.NewBalancer(1, "")
 	ba.SetPeerLoads(begin, map[policy.EndpointID]placement.Load{"e0": {Running: 30, Backlog: 2}, "e1": {Running: 30, Backlog: 2}})
 	for range 5 {
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -98,7 +98,7 @@
 	qt.Assert(t, ok, qt.IsTrue)
 }
 
-func TestNoEndpointMayBeUsed(t *testing.T) {
+func TestOnlyUsableEndpointsAreChosen(t *testing.T) {
 	tr := placement.NewTracker(1)
 	for _, n := range []int{0, 3, 50} {
 		_, ok := tr.Choose(start, pool(n), 7, nil, func(policy.Endpoint) bool { return false })
--- a/session/pin.go
+++ b/session/pin.go
@@ -254,15 +254,15 @@
 }
 
 func (pi *Pins) entriesChanged() bool {
-	var now []peer.Incarnation
+	var current []peer.Incarnation
 	for _, mb := range pi.group.Entries() {
-		now = append(now, mb.Incarnation)
+		current = append(current, mb.Incarnation)
 	}
-	slices.Sort(now)
+	slices.Sort(current)
 	pi.mu.Lock()
 	defer pi.mu.Unlock()
-	changed := !slices.Equal(pi.lastEntries, now)
-	pi.lastEntries = now
+	changed := !slices.Equal(pi.lastEntries, current)
+	pi.lastEntries = current
 	return changed
 }
 
