--- a/placement/affinity.go
+++ b/placement/affinity.go
@@ -14,10 +14,11 @@
 	// cacheLifetime is how long a prefix counts as cached at an endpoint that it
 	// was sent to.
 	cacheLifetime = 6 * time.Second
-	// maxRecentPrefixes bounds the tables of recent prefixes.
+	// maxRecentPrefixes is the largest size of Balancer.sentAt, and the size of
+	// popularity.counts above which rarely requested prefixes are dropped.
 	maxRecentPrefixes = 4096
-	// preferredEndpoints is how many endpoints each prefix is assigned by
-	// rendezvous hashing.
+	// preferredEndpoints is the number of endpoints that rendezvous hashing assigns
+	// to each prefix.
 	preferredEndpoints = 2
 	// secondPreferredShare is the part of a prefix that is expected in the cache
 	// of its second preferred endpoint.
--- a/placement/balancer.go
+++ b/placement/balancer.go
@@ -30,8 +30,8 @@
 	// overdueFactor times its estimate is the time after which an answer that has
 	// not begun is overdue.
 	overdueFactor = 3.0
-	// jitter is the random part of a score, which spreads the choice over
-	// endpoints that are nearly equal.
+	// jitter is the largest random increase of a score, as a part of the score. It
+	// spreads the choice over endpoints that are nearly equal.
 	jitter = 0.1
 )
 
@@ -48,17 +48,20 @@
 	CacheSaving Work
 }
 
-// Load is the load that one router has placed on an endpoint.
+// Load is the load that one router, or several together, have placed on an
+// endpoint.
 type Load struct {
-	// Running is the number of its requests in flight.
+	// Running is the number of requests in flight.
 	Running int
-	// Backlog is the work of those whose answer has not begun.
+	// Backlog is the work of those requests whose answer has not begun.
 	Backlog Work
 }
 
 // endpointState is what the balancer knows of one endpoint.
 type endpointState struct {
 	suspension
+	// own is the load from this router, peers the sum of the loads that the other
+	// routers reported.
 	own   Load
 	peers Load
 	// reported is the number of requests that the endpoint last reported, and
@@ -86,8 +89,8 @@
 }
 
 // maxOverdue returns by how many seconds the most overdue answer of an endpoint
-// is late to begin. It shows that an endpoint is stuck long before any of its
-// answers does.
+// is late to begin. This shows that an endpoint is stuck long before a late or
+// failed answer does.
 func (es *endpointState) maxOverdue(now time.Time) float64 {
 	late := 0.0
 	for _, pj := range es.pending {
@@ -115,11 +118,14 @@
 //
 // mu guards all fields. No other lock is taken while it is held.
 type Balancer struct {
-	mu         sync.Mutex
-	rng        *rand.Rand
-	states     map[policy.EndpointID]*endpointState
-	sentAt     map[endpointPrefix]time.Time
-	domain     policy.FailureDomain
+	mu     sync.Mutex
+	rng    *rand.Rand
+	states map[policy.EndpointID]*endpointState
+	// sentAt is when each prefix was last sent to each endpoint.
+	sentAt map[endpointPrefix]time.Time
+	// domain is the failure domain of the router.
+	domain policy.FailureDomain
+	// peersUntil is when the other routers' reports expire.
 	peersUntil time.Time
 	lastJob    JobID
 }
@@ -267,8 +273,8 @@
 	return sum / Work(len(ens))
 }
 
-// SetPeerLoads replaces the loads that the other routers have placed on each
-// endpoint. They expire after peerReportLifetime.
+// SetPeerLoads replaces the sums of the loads that the other routers have placed
+// on each endpoint. They expire after peerReportLifetime.
 func (ba *Balancer) SetPeerLoads(now time.Time, peers map[policy.EndpointID]Load) {
 	ba.mu.Lock()
 	defer ba.mu.Unlock()
@@ -297,7 +303,8 @@
 
 // Running is the number of requests in flight at an endpoint.
 type Running struct {
-	// Own counts this router's requests, All those of every router.
+	// Own counts this router's requests, All those of every router. While there are
+	// no valid reports of the other routers, All is equal to Own.
 	Own, All int
 }
 
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -30,15 +30,16 @@
 const (
 	// minCandidates is the number of endpoints tried for the rarest prefix.
 	minCandidates = 2
-	// extraCandidates is the number of further endpoints tried for each endpoint
-	// that the prefix's requests alone would keep busy, so that one of them has a
-	// free slot.
+	// extraCandidates is the number of endpoints tried beyond minCandidates, for
+	// each endpoint's worth of requests with the prefix: a prefix that a quarter of
+	// all requests ask for could keep a quarter of the endpoints busy on its own.
+	// Trying several times as many finds one with a free slot.
 	extraCandidates = 3.0
 	// ringStepPenalty is added to an endpoint's load for each candidate before it
 	// on the ring.
 	ringStepPenalty = 0.1
-	// maxAffinityLoad is the load, in requests for each slot, from which an
-	// endpoint is no longer chosen by prefix. It is above 1 since ownWeight counts
+	// maxAffinityLoad is the load, in requests per slot, from which an endpoint is
+	// no longer chosen by prefix. It is above 1 since ownWeight counts
 	// the entry's own requests several times.
 	maxAffinityLoad = 1.2
 	// ownWeight and peerWeight are the weights of this entry's requests in flight
@@ -138,8 +139,9 @@
 }
 
 // chooseByPrefix returns the index of the least loaded of the first endpoints on
-// the ring after a prefix, or -1 when all of these are loaded. Earlier ones are
-// preferred, and a popular prefix has more candidates.
+// the ring after a prefix, or -1 when none of these is both allowed and loaded
+// below maxAffinityLoad. Earlier ones are preferred, and a popular prefix has more
+// candidates.
 func (tr *Tracker) chooseByPrefix(now time.Time, po *Pool, pr Prefix, allowed Usable) int {
 	if pr == 0 || len(po.points) == 0 {
 		return -1
@@ -192,9 +194,9 @@
 	return best
 }
 
-// load estimates an endpoint's running requests for each slot: from the entries'
-// requests in flight, or without valid reports of the other entries from the
-// endpoint's own report and what this entry has sent since.
+// load estimates an endpoint's running requests per slot. It uses the entries'
+// requests in flight or, without valid reports of the other entries, the
+// endpoint's own report and the change of this entry's requests in flight since.
 func (tr *Tracker) load(now time.Time, en policy.Endpoint) float64 {
 	st, ok := tr.states[en.ID]
 	if !ok {
@@ -270,8 +272,8 @@
 
 // Results of attempts. Neutral says nothing about the endpoint, as when the
 // caller made a mistake. AnsweredWithError is an error response, which some
-// requests cause on any endpoint: it counts against the endpoint but does not
-// suspend it.
+// requests cause on any endpoint: it raises the failure rate in Balancer, but
+// for suspensions it counts as a success.
 const (
 	Neutral Result = iota
 	Succeeded
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -98,6 +98,8 @@
 	qt.Assert(t, ok, qt.IsTrue)
 }
 
+// TestOnlyUsableEndpointsAreChosen allows no endpoint, and then one of many that
+// the prefix and the random choices are likely to miss.
 func TestOnlyUsableEndpointsAreChosen(t *testing.T) {
 	tr := placement.NewTracker(1)
 	for _, n := range []int{0, 3, 50} {
--- a/placement/popularity.go
+++ b/placement/popularity.go
@@ -2,9 +2,11 @@
 
 const (
 	// popularityGrowth is the weight of a request relative to the one before it.
-	// Older requests lose their weight within a few hundred requests.
+	// Instead of decaying the old counts, each new request counts for more, so
+	// older requests are outweighed within a few hundred requests.
 	popularityGrowth = 1 / 0.99
-	// maxPopularityWeight is the weight above which all counts are scaled down.
+	// maxPopularityWeight is the weight of a request above which all counts are
+	// scaled down.
 	maxPopularityWeight = 1e9
 	// minPopularityCount is the count, in requests, below which a prefix is dropped.
 	minPopularityCount = 0.01
--- a/placement/suspension.go
+++ b/placement/suspension.go
@@ -4,7 +4,8 @@
 
 // suspension is the circuit breaker of one endpoint. After failuresToSuspend
 // failures in a row the endpoint gets no requests, except one probe at a time
-// after SuspendedUntil; a successful probe ends the suspension.
+// after SuspendedUntil. A probe that is answered, even with an error, ends the
+// suspension.
 type suspension struct {
 	Failures       int
 	SuspendedUntil time.Time
@@ -23,7 +24,8 @@
 
 // recordResult records the result of a request, and reports whether it suspended
 // the endpoint or ended its suspension. chance is random, from 0 to 1: it varies
-// the suspension's length by half, so that suspensions do not all end together.
+// the suspension's length from half to one and a half times its mean, so that
+// suspensions do not all end together.
 func (su *suspension) recordResult(now time.Time, re Result, chance float64) (suspended, resumed bool) {
 	su.probing = false
 	switch re {
