--- a/admission/admission.go
+++ b/admission/admission.go
@@ -51,16 +51,19 @@
 
 const (
 	// serviceTimeP97Factor times the expected service time is the time reserved
-	// for an answer: of answers with exponentially distributed length, 97 of 100
-	// are shorter.
+	// for an answer: if service times are distributed exponentially, 97 of 100 are
+	// shorter.
 	serviceTimeP97Factor = 3.5
 	// maxStartDelay bounds the wait of a request whose deadline is too close to
-	// reserve that time.
+	// reserve that much time.
 	maxStartDelay = 250 * time.Millisecond
 )
 
-// LatestStart returns the latest time at which a request must start to be
-// answered by its deadline; expected is its mean service time.
+// LatestStart returns the time after which a request is refused instead of
+// started; expected is its mean service time. The request may wait until only
+// serviceTimeP97Factor times expected is left before the deadline. If that leaves
+// less than maxStartDelay after its arrival, it may still wait for maxStartDelay,
+// but not beyond the time when only expected is left.
 func LatestStart(arrived, deadline time.Time, expected time.Duration) time.Time {
 	safe := deadline.Add(-time.Duration(serviceTimeP97Factor * float64(expected)))
 	likely := deadline.Add(-expected)
@@ -76,7 +79,7 @@
 // Ticket is one request's place in the queue.
 type Ticket struct {
 	Organisation policy.OrganisationID
-	// Share is the organisation's weight.
+	// Share is the organisation's weight in fair sharing.
 	Share float64
 	Rank  policy.RankID
 	// Cost is the expected cost; the actual cost is known when the request ends.
@@ -84,12 +87,14 @@
 	// LatestStart is the time after which the request is refused instead of started.
 	LatestStart time.Time
 
-	state     state
+	state state
+	// tier is withinShare or overShare, as it was when the request started.
 	tier      int
 	startedAt time.Time
 	rank      *rankQueue
 	org       *orgQueue
-	wake      chan *Refusal
+	// wake receives the refusal, or nil when the request starts.
+	wake chan *Refusal
 }
 
 type state int
--- a/admission/fleet.go
+++ b/admission/fleet.go
@@ -8,36 +8,39 @@
 	"tanagerpoint.example/tanager/policy"
 )
 
-// Each rank has two levels: organisations within their fair share, and
-// organisations over it. Levels are ordered by protection: level 2n is within,
-// level 2n+1 over the share of the n-th rank.
+// Each rank has two levels: one for the requests of organisations within their
+// fair share, and one for those of organisations over it. Levels are protected in
+// the order of the ranks, and within a rank the level within the share is the more
+// protected one.
 const levelsPerRank = 2
 
+// Tiers: the indexes of a rank's levels.
 const (
 	withinShare = 0
 	overShare   = 1
 )
 
 const (
-	// overShareTolerance times its fair share of a rank's work is the limit
-	// above which an organisation counts as over its share.
+	// overShareTolerance times its fair share of a rank's usage is the usage above
+	// which an organisation counts as over its share.
 	overShareTolerance = 1.1
-	// reserveDeviations is how many standard deviations above its mean use are
-	// kept free for a more protected level.
+	// reserveDeviations is the number of standard deviations above a more protected
+	// level's mean use up to which slots are kept free for it.
 	reserveDeviations = 3.0
-	// maxSpareShare is the fraction of the fleet's free slots that one entry may
-	// use beyond its own slots until the next exchange of reports.
+	// maxSpareShare is the fraction of the slots free over all entries that one
+	// entry may use beyond its own slots until the next exchange of reports.
 	maxSpareShare = 0.5
-	// ditherInterval is how long fractional limits are rounded with one dither.
+	// ditherInterval is how long fractional limits are rounded with the same dither.
 	ditherInterval = 2 * time.Second
-	// goldenRatio is added to the dither, modulo 1, at each change: this
-	// low-discrepancy sequence distributes the roundings evenly.
+	// goldenRatio is added to the dither, modulo 1, at each change. The sequence
+	// has low discrepancy: limits are rounded up evenly in time, as often as their
+	// fraction says.
 	goldenRatio = 0.6180339887498949
 	// fleetReportLifetime is how long the other entries' reports are valid.
 	fleetReportLifetime = 4 * time.Second
 )
 
-// LevelUsage is the slots that a level uses.
+// LevelUsage is the number of slots that a level uses.
 type LevelUsage struct {
 	Rank      policy.RankID
 	OverShare bool
@@ -67,7 +70,8 @@
 	Report
 }
 
-// Report returns the usage of this queue, for the other entries.
+// Report returns the usage of this queue, for the other entries. It leaves out
+// organisations whose usage has decayed below 1.
 func (qu *Queue) Report(now time.Time) Report {
 	qu.advance(now)
 	var re Report
@@ -88,9 +92,9 @@
 	return re
 }
 
-// SetFleet replaces the reports of the other entries. They expire after
-// fleetReportLifetime; without them the queue uses its own slots and its own
-// usage only.
+// SetFleet replaces the reports of the other entries. After fleetReportLifetime
+// the queue computes its limits from its own slots and levels only. The usage that
+// the reports gave for organisations remains, and decays.
 func (qu *Queue) SetFleet(now time.Time, fl Fleet) {
 	qu.advance(now)
 	qu.fleetCapacity = fl.Capacity
@@ -133,14 +137,14 @@
 	or, ok := rq.orgs[us.Organisation]
 	if !ok {
 		// An organisation that only other entries serve still takes part in
-		// the fair shares.
+		// the fair shares, with weight 1 since reports have no weights.
 		or = rq.org(us.Organisation, 1)
 	}
 	or.peerUsage += co
 	rq.usage += co
 }
 
-// level is the state of one level.
+// level is the state of one level; see levelsPerRank.
 type level struct {
 	running int
 	// used is the exponential moving average of running.
@@ -152,8 +156,8 @@
 	runningAtReport int
 }
 
-// tier returns overShare or withinShare: whether an organisation is over its
-// fair share of its rank's work.
+// tier returns overShare if an organisation is over its fair share of the rank's
+// usage, and withinShare otherwise.
 func (rq *rankQueue) tier(or *orgQueue) int {
 	fair := rq.usage * or.weight / rq.totalWeight
 	if or.localUsage+or.peerUsage > overShareTolerance*fair {
@@ -162,10 +166,11 @@
 	return withinShare
 }
 
-// mayStart reports whether a level may use another slot. It checks the limit of
-// that level and of every more protected one. A level's limit bounds the slots
-// that it and all less protected levels use together, so that the slots that
-// the more protected levels are expected to need stay free.
+// mayStart reports whether the level with the given index of its rank and tier may
+// use another slot. A level's limit bounds the slots that it and all less
+// protected levels use together, so that a reserve for the more protected levels
+// stays free. Since a start counts against the limits of all more protected levels
+// too, mayStart checks these as well as the level's own.
 func (qu *Queue) mayStart(rank, tier int) bool {
 	fleetKnown := qu.updatedAt.Before(qu.fleetUntil)
 	ranksAbove := 0.0
@@ -187,8 +192,8 @@
 }
 
 // hasRoom reports whether a level and all less protected ones may use another
-// slot outside the reserve: either one of this entry's own slots, or a free
-// slot of the fleet.
+// slot outside the reserve: either one of this entry's own slots, or one that was
+// free over all entries at the time of the reports.
 func (qu *Queue) hasRoom(rank, tier int, reserve float64, fleetKnown bool) bool {
 	running, runningAtReport, peersRunning := 0, 0, 0.0
 	for i, rq := range qu.ranks[rank:] {
@@ -219,6 +224,8 @@
 	return float64(qu.capacity)
 }
 
+// fleetUsed returns the level's mean use over all entries, or at this entry alone
+// when the fleet's state is not known.
 func (le *level) fleetUsed(fleetKnown bool) float64 {
 	if fleetKnown {
 		return le.used + le.peersUsed
--- a/admission/heap.go
+++ b/admission/heap.go
@@ -1,7 +1,7 @@
 package admission
 
-// orgHeap orders the organisations with waiting requests by their usage
-// relative to their weight, the lowest first.
+// orgHeap orders the organisations with waiting requests by their usage per unit
+// of weight, the lowest first.
 type orgHeap []*orgQueue
 
 func (oh orgHeap) Len() int           { return len(oh) }
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -12,15 +12,15 @@
 const (
 	// usageHalfLife is the half-life of served cost in an organisation's usage.
 	usageHalfLife = 10 * time.Second
-	// A rank's floor credit is bounded by maxCreditSeconds times its floor plus
-	// maxCreditBase, in slot-seconds.
+	// A rank's floor credit is bounded by maxCreditSeconds times its floor in slots
+	// plus maxCreditBase, in slot-seconds.
 	maxCreditSeconds = 10.0
 	maxCreditBase    = 10.0
 	// maxIdleCredit bounds the floor credit of a rank without waiting requests,
 	// in slot-seconds.
 	maxIdleCredit = 0.5
 	// serviceTimeSmoothing is the weight of a new measurement in the moving
-	// average of the service time for each unit of cost.
+	// average of the service time per unit of cost.
 	serviceTimeSmoothing = 0.05
 	// levelSmoothing is the time constant of the moving average of each level's
 	// used slots.
@@ -30,12 +30,14 @@
 	minRetryWait        = time.Second
 	maxRetryWait        = 30 * time.Second
 	noCapacityRetryWait = 2 * time.Second
-	// maxInflation is the inflation of usage above which it is scaled down.
+	// maxInflation is the inflation above which all usage is scaled down and the
+	// epoch moved; see orgQueue.
 	maxInflation = 64
-	// minActiveScore is the usage for each unit of weight below which an
-	// organisation without waiting requests is dropped.
+	// minActiveScore is the usage per unit of weight below which an organisation
+	// without waiting requests is dropped.
 	minActiveScore = 0.5
-	// initialSecondsPerCost is the estimate before any request has ended.
+	// initialSecondsPerCost is the value of secondsPerCost before any request has
+	// ended.
 	initialSecondsPerCost = 0.02
 )
 
@@ -47,8 +49,10 @@
 	running    int
 	waiting    int
 	updatedAt  time.Time
-	epoch      time.Time
-	// secondsPerCost is the measured time that a unit of cost occupies a slot.
+	// epoch is the time relative to which usage is inflated; see orgQueue.
+	epoch time.Time
+	// secondsPerCost is the moving average of the measured time for which a unit of
+	// cost occupies a slot.
 	secondsPerCost float64
 	// fleetCapacity is the pool's slots for all entries, until fleetUntil.
 	fleetCapacity Slots
@@ -65,8 +69,9 @@
 	running    int
 	waiting    int
 	queuedCost Cost
-	// credit is the rank's floor over time less the slots that it used, in
-	// slot-seconds. Above 0 the rank gets the next free slot.
+	// credit is the sum over time of the rank's floor less the slots that it used,
+	// in slot-seconds. While it is above 0, the rank comes before
+	// those without credit.
 	credit float64
 	levels [levelsPerRank]level
 	orgs   map[policy.OrganisationID]*orgQueue
@@ -79,9 +84,10 @@
 	usage float64
 }
 
-// orgQueue is one organisation's state within a rank. Instead of decaying old
-// usage, new usage is inflated by the time since the epoch, so that the order
-// of the organisations does not change as time passes.
+// orgQueue is one organisation's state within a rank. Its usage decays without
+// being updated: new usage is instead inflated by a factor that grows with the
+// time since the epoch, so that the order of the organisations does not change as
+// time passes.
 type orgQueue struct {
 	id         policy.OrganisationID
 	weight     float64
@@ -92,6 +98,7 @@
 	index      int
 }
 
+// score returns the usage per unit of weight.
 func (or *orgQueue) score() float64 { return (or.localUsage + or.peerUsage) / or.weight }
 
 // NewQueue returns an empty queue without capacity, in which at most maxWaiting
@@ -151,8 +158,8 @@
 
 // Offer adds a request to the queue, or refuses it; Dispatch starts it later.
 // When the queue is full, Offer refuses the newest waiting request of the
-// organisation with the most queued cost for its weight, so the refusal may be
-// of another ticket than ti.
+// organisation with the most queued cost per unit of weight in the least urgent
+// rank with waiting requests, so the refusal may be of another ticket than ti.
 func (qu *Queue) Offer(now time.Time, ti *Ticket) []*Refusal {
 	qu.advance(now)
 	rq := qu.rank(ti.Rank)
@@ -190,8 +197,8 @@
 }
 
 // expectedStart estimates when a request would start. Under fair sharing the
-// cost served before it is at most the organisation's own queued cost, scaled
-// by the sum of the waiting organisations' weights over its own.
+// cost served before it is at most the organisation's own queued cost times the
+// sum of the waiting organisations' weights, divided by its own weight.
 func (qu *Queue) expectedStart(now time.Time, rq *rankQueue, or *orgQueue, co Cost) time.Time {
 	if qu.waiting == 0 && float64(qu.running) < float64(qu.capacity) {
 		return now
@@ -205,9 +212,9 @@
 	return now.Add(time.Duration(ahead / rate * float64(time.Second)))
 }
 
-// availableShare returns the share of the capacity that a rank can expect:
-// what more urgent ranks do not use, less the floors of less urgent ranks with
-// waiting requests, and at least its own floor.
+// availableShare returns the share of the capacity that a rank can expect: the
+// part that more urgent ranks do not use, less the floors of less urgent ranks
+// with waiting requests, but at least its own floor.
 func (qu *Queue) availableShare(rq *rankQueue) float64 {
 	left := 1.0
 	for _, other := range qu.ranks {
@@ -240,8 +247,8 @@
 	return nil
 }
 
-// mostQueued returns the organisation with the most queued cost for its weight,
-// or nil when none has waiting requests.
+// mostQueued returns the organisation with the most queued cost per unit of
+// weight, or nil when none has waiting requests.
 func (rq *rankQueue) mostQueued() *orgQueue {
 	var worst *orgQueue
 	for _, or := range rq.ready {
@@ -395,7 +402,8 @@
 }
 
 // org returns an organisation's state within the rank, which it creates when
-// there is none. A changed weight takes effect when nothing is waiting.
+// there is none. A changed weight takes effect once none of the organisation's
+// requests is waiting.
 func (rq *rankQueue) org(id policy.OrganisationID, weight float64) *orgQueue {
 	or, ok := rq.orgs[id]
 	if !ok {
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -23,8 +23,8 @@
 
 // TestQueueKeepsItsCounts offers, starts, ends and cancels requests at random.
 // It fails when a request is lost, started twice or started after its latest
-// start, when Load differs from the actual counts, when more requests run than
-// there are slots, or when a refusal has no later time for a retry.
+// start, when Load differs from the actual counts, when more than four requests
+// run with three slots, or when a refusal has no later time for a retry.
 func TestQueueKeepsItsCounts(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		now := start
@@ -93,7 +93,7 @@
 				rt.Fatalf("queue counts %d running and %d waiting requests, want %d and %d", running, waiting, counts["running"], counts["waiting"])
 			}
 			if running > 4 {
-				rt.Fatalf("%d run with three slots", running)
+				rt.Fatalf("%d requests run with three slots, want at most 4", running)
 			}
 		}
 	})
--- a/admission/usage.go
+++ b/admission/usage.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// addCredit adds a rank's floor over dt seconds to its credit, less the slots
-// that it used. The credit is bounded both ways.
+// addCredit adds to a rank's credit its floor less the slots that it used, over dt
+// seconds. The credit is bounded from above and below.
 func (qu *Queue) addCredit(rq *rankQueue, dt float64) {
 	floor := rq.Floor * float64(qu.capacity)
 	limit := floor*maxCreditSeconds + maxCreditBase
