--- a/peer/group.go
+++ b/peer/group.go
@@ -71,7 +71,8 @@
 	}
 }
 
-// Group runs this daemon's side of the exchange and holds what it has learnt.
+// Group runs this daemon's side of the exchange and holds what it has learnt from
+// peers.
 //
 // mu guards syncStates, lastContact, lastMembers, sequence, currentRevision and
 // previousRevision. It is taken before the table's and the holder's locks, never
@@ -82,20 +83,24 @@
 	holder *configuration.Holder
 	log    *event.Log
 	client *http.Client
-	fence  int64
+	// fence is the Version.Fence of the items that this daemon publishes: its start
+	// time in Unix milliseconds.
+	fence int64
 
 	// size is the number of live daemons, this one included.
 	size atomic.Int64
 	// aheadPeers receives the addresses of peers that have a newer policy.
 	aheadPeers chan string
 
-	mu         sync.Mutex
-	sequence   int64
+	mu sync.Mutex
+	// sequence is the Version.Sequence of the item last published.
+	sequence int64
+	// syncStates is the state of the exchange with each peer address.
 	syncStates map[string]syncState
 	// lastContact is the time of the last direct exchange with each member.
 	lastContact map[Incarnation]time.Time
-	// lastMembers is the live members at the last call of updateMembers, by role
-	// and VM.
+	// lastMembers holds the members that were live at the last call of
+	// updateMembers, by role and VM.
 	lastMembers map[string]Member
 	// currentRevision is the policy revision in force at the start of the last
 	// round, previousRevision the one at the start of the round before.
@@ -142,10 +147,10 @@
 // Close closes the idle connections to peers.
 func (gr *Group) Close() { gr.client.CloseIdleConnections() }
 
-// Publish writes an item that this daemon owns. A key that several daemons
-// publish must end in the owner's name. An unchanged value is written again only
-// after rewriteInterval, except for a member record, whose writes are its
-// heartbeats.
+// Publish writes an item that this daemon owns. Where several daemons publish an
+// item of one kind, each key must end in the owner's name, since no two daemons may
+// publish the same key. An unchanged value is written again only after
+// rewriteInterval, except for a member record, whose writes are its heartbeats.
 func (gr *Group) Publish(key string, ms proto.Message) {
 	gr.mu.Lock()
 	gr.sequence++
@@ -154,8 +159,8 @@
 	gr.PublishVersion(key, ve, ms)
 }
 
-// PublishVersion writes an item that several daemons may write; the version
-// decides which write wins.
+// PublishVersion writes an item under a key that several daemons may write; the
+// version decides which write wins.
 func (gr *Group) PublishVersion(key string, ve Version, ms proto.Message) {
 	value, err := proto.MarshalOptions{Deterministic: true}.Marshal(ms)
 	if err != nil || gr.table.writtenRecently(key, ve.Fence, value, time.Now()) {
@@ -196,9 +201,10 @@
 	wg.Wait()
 }
 
-// pickAddresses returns random peer addresses, up to Fanout of live members
-// first. At least one address of no live member is added if any is known, so
-// that the parts of a site rejoin after a network partition.
+// pickAddresses returns random peer addresses: up to Fanout addresses of live
+// members, and then others to make up for missing members. If any other address is
+// known, it returns at least one, so that the parts of a site rejoin after a
+// network partition.
 func (gr *Group) pickAddresses() []string {
 	me := gr.opt.Self.GetPeerAddress()
 	var live, others []string
--- a/peer/member.go
+++ b/peer/member.go
@@ -45,15 +45,15 @@
 	return out
 }
 
-// Entries returns the other live daemons that serve callers: those of every
-// role but steward.
+// Entries returns the other live daemons that serve callers, which are those of
+// RoleEntry and RoleRouter.
 func (gr *Group) Entries() []Member {
 	return slices.DeleteFunc(gr.Members(), func(mb Member) bool { return mb.Role == RoleSteward })
 }
 
 // Preferred reports whether this daemon should be among the first to try for a
-// task: whether rendezvous hashing ranks it among the first live daemons of its
-// role, where n is their number.
+// task: whether it is one of the n live daemons of its role that rendezvous
+// hashing by the task ranks first.
 func (gr *Group) Preferred(task string, n int) bool {
 	weigh := func(id vm.ID) uint64 { return xxhash.Sum64String(string(id) + "\x00" + task) }
 	own, before := weigh(gr.VM()), 0
@@ -77,8 +77,8 @@
 }
 
 // ReachesMostEntries reports whether this daemon has had a direct exchange with
-// more than half of the entry VMs, itself included, within FailedAfter. listed
-// is the number of entry VMs in the VM list.
+// more than half of the entry VMs within the last FailedAfter. It counts itself as
+// reached. listed is the number of entry VMs in the VM list.
 func (gr *Group) ReachesMostEntries(listed int) bool {
 	now := time.Now()
 	reached := 1
--- a/peer/policy.go
+++ b/peer/policy.go
@@ -44,9 +44,10 @@
 	gr.holder.Confirm(revision, evidence)
 }
 
-// offerPolicy sends the policy in force to a peer that is still older than the
-// policy of the previous round. Such a peer had time to fetch the policy and has
-// not, so it may be unable to open connections to other daemons.
+// offerPolicy sends the policy in force to a peer whose policy is still older than
+// this daemon's was at the start of the previous round. Such a peer had time to
+// fetch that policy and has not, so it may be unable to open connections to other
+// daemons.
 func (gr *Group) offerPolicy(ctx context.Context, address string, revision store.Revision) {
 	gr.mu.Lock()
 	previous := gr.previousRevision
@@ -61,7 +62,7 @@
 }
 
 // rotateRevisions records the policy revision at the start of a round and keeps
-// the one of the round before, which peers had a whole round to fetch.
+// that of the round before, which peers have had a whole round to fetch.
 func (gr *Group) rotateRevisions() {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
--- a/peer/registry.go
+++ b/peer/registry.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// registryLease is how long a registry entry remains after its daemon has
+	// registryLease is how long a daemon's registration remains after the daemon has
 	// stopped without removing it.
 	registryLease         = 10 * time.Second
 	registryRenewInterval = registryLease / 3
 	// renewalsPerRead is the number of renewals between two reads of the other
-	// daemons' entries. Reads can be rare: once the exchange knows some peers,
-	// the entries only serve to rejoin parts of a partitioned site.
+	// daemons' registrations. Reads can be rare: once the exchange knows some peers,
+	// the registrations only serve to rejoin parts of a partitioned site.
 	renewalsPerRead = 9
 )
 
-// Registry keeps this daemon's member record in the store under a lease and
-// reads those of the other daemons, so that peers can be found when no seed is
-// alive.
+// Registry keeps this daemon's registration in the store and reads those of the
+// other daemons, so that peers can be found when no seed is alive. A registration
+// is a daemon's member record, stored under a lease.
 //
 // mu guards addresses. No other lock is taken while it is held.
 type Registry struct {
@@ -51,8 +51,8 @@
 	return rg.addresses
 }
 
-// Run renews the entry until ctx is done and then revokes its lease, which
-// removes the entry.
+// Run renews the registration until ctx is done and then revokes its lease, which
+// removes the registration.
 func (rg *Registry) Run(ctx context.Context) {
 	lease := store.LeaseID(0)
 	for round := 0; ; round++ {
@@ -73,8 +73,8 @@
 	}
 }
 
-// renew renews the lease, or writes the entry under a new lease if the old one
-// has expired. It returns the lease in use, or 0 if there is none.
+// renew renews the lease, or writes the registration under a new lease if the old
+// one has expired. It returns the lease in use, or 0 if there is none.
 func (rg *Registry) renew(ctx context.Context, lease store.LeaseID) store.LeaseID {
 	if lease != 0 {
 		alive, err := rg.store.KeepAlive(ctx, lease)
--- a/peer/run.go
+++ b/peer/run.go
@@ -10,12 +10,12 @@
 
 const (
 	// smallGroup is the largest number of daemons that exchange at the configured
-	// interval. In larger groups the interval grows with the number of daemons,
-	// so that the amount each sends per second does not.
+	// interval. In larger groups the interval grows with the number of daemons, so
+	// that the amount of data that each sends per second does not grow.
 	smallGroup = 24
-	// notifyFanout is how many peers a daemon of a large group notifies at once of
-	// a new policy set. Since each of them does the same, nearly all daemons know
-	// of it after a few hops.
+	// notifyFanout is the number of peers that a daemon of a large group notifies of
+	// a new policy set without waiting for the next round. Since each of them does
+	// the same, nearly all daemons know of it after a few hops.
 	notifyFanout = 3
 )
 
--- a/peer/server.go
+++ b/peer/server.go
@@ -21,7 +21,8 @@
 	Hold(rq *rpc.HoldBillsRequest)
 }
 
-// Pins answers requests for session pins that this daemon holds.
+// Pins answers other daemons' requests for the session pins that this daemon
+// holds.
 type Pins interface {
 	Pin(ctx context.Context, rq *rpc.PinRequest) (*rpc.PinResponse, error)
 }
@@ -55,7 +56,7 @@
 }
 
 // Exchange implements rpc.PeerService. It merges the caller's items and returns
-// those that changed since the caller's last exchange.
+// those of this daemon that changed since the caller's last exchange.
 func (se *Server) Exchange(ctx context.Context, rq *rpc.ExchangeRequest) (*rpc.ExchangeResponse, error) {
 	gr := se.group
 	now := time.Now()
--- a/peer/table.go
+++ b/peer/table.go
@@ -85,6 +85,7 @@
 	old, ok := ta.items[it.Key]
 	switch {
 	case ok && old.Version.Fence == it.Version.Fence && bytes.Equal(old.Value, it.Value):
+		// The value is not sent again to peers that have it; see changedSince.
 		it.valueChange, it.member = old.valueChange, old.member
 	case strings.HasPrefix(it.Key, memberPrefix):
 		it.member = decodeMember(it.Value)
@@ -138,8 +139,10 @@
 	return out
 }
 
-// changedSince returns the items that changed after a value of the change
-// counter, and the counter's current value. It deletes items older than itemTTL.
+// changedSince returns the items that changed after a value of the change counter,
+// and the counter's current value. An item whose value has not changed since then
+// is returned without it and with SameValue set. changedSince deletes items older
+// than itemTTL.
 func (ta *Table) changedSince(change int64, now time.Time) ([]*rpc.Item, int64) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
