--- a/session/assign.go
+++ b/session/assign.go
@@ -6,10 +6,11 @@
 	"tanagerpoint.example/tanager/policy"
 )
 
-// Assign returns the version for a new session on a model. During a roll-out
-// that is the candidate version if draw is below the candidate's share, unless
-// the candidate is not live or suspect reports that it performs badly. draw is a
-// random number in [0, 1).
+// Assign returns the version for a new session on a model. Without a roll-out
+// that is the stable version. During a roll-out it is the candidate version if draw
+// is below the candidate's share, unless the candidate is not live or suspect
+// reports that it performs badly, and otherwise the version that the roll-out
+// starts from. draw is a random number in [0, 1).
 func Assign(se *policy.Set, mo policy.Model, draw float64, suspect func(policy.VersionID) bool) policy.VersionID {
 	stable := policy.VersionID(mo.StableVersion)
 	ro, ok := se.ActiveRollout(mo.ID)
--- a/session/pin.go
+++ b/session/pin.go
@@ -19,13 +19,14 @@
 const (
 	// pinTTL is how long a pin is kept after it was last renewed.
 	pinTTL = 30 * time.Minute
-	// holdersPerPin is how many entries store each pin.
+	// holdersPerPin is the number of entries that store each pin.
 	holdersPerPin = 2
 	// maxPins is the largest number of pins in the table of one entry.
 	maxPins = 200_000
 	// pinTimeout is the timeout of a call to another holder of a pin.
 	pinTimeout = 300 * time.Millisecond
-	// renewInterval is the age at which a used pin is renewed at its holders.
+	// renewInterval is the time after its last renewal at which a pin that is used
+	// again is renewed at its holders.
 	renewInterval = pinTTL / 4
 )
 
@@ -37,10 +38,13 @@
 	return Key(string(or) + "\x00" + string(mo) + "\x00" + string(id))
 }
 
+// pin is the version of a session.
 type pin struct {
 	version   policy.VersionID
 	expiresAt time.Time
-	renewAt   time.Time
+	// renewAt is when a use of the pin requests it from its holders again, which
+	// renews it there.
+	renewAt time.Time
 }
 
 // Pins maps sessions to the versions that they are pinned to. It stores the pins
@@ -100,8 +104,8 @@
 
 // Version returns the version that a session is pinned to, and pins it to the
 // proposed version if it has no pin. If several entries propose versions, the
-// first one wins. A pin to the replaced version is overwritten by the proposed
-// one. If no holder answers, the pin is stored at this entry alone.
+// first one wins. A pin to the replaced version is moved to the proposed version.
+// If no holder answers, the pin is stored at this entry alone.
 func (pi *Pins) Version(ctx context.Context, key Key, proposed, replaced policy.VersionID) policy.VersionID {
 	now := time.Now()
 	if pn, ok := pi.get(key, now); ok && pn.version != replaced && now.Before(pn.renewAt) {
@@ -133,7 +137,9 @@
 
 // Pin implements peer.Pins for sessions whose pins this entry holds. If it has no
 // pin for a session, it asks the other holders before it accepts the proposal,
-// because it may have become a holder only now.
+// because it may only just have become a holder. It sends the resulting pin to the
+// other holders. A request with Copy set comes from another holder and is answered
+// by storeCopy alone.
 func (pi *Pins) Pin(ctx context.Context, rq *rpc.PinRequest) (*rpc.PinResponse, error) {
 	key, now := Key(rq.GetSession()), time.Now()
 	proposed, replaced := policy.VersionID(rq.GetVersion()), policy.VersionID(rq.GetReplaces())
@@ -151,9 +157,10 @@
 	return &rpc.PinResponse{Version: string(version)}, nil
 }
 
-// storeCopy stores a pin sent by another holder unless this entry has one that
-// is not replaced, and returns the resulting version. Without a version it stores
-// nothing and returns the version that this entry has, if any.
+// storeCopy stores a pin sent by another holder unless this entry has one to a
+// version other than replaced, and returns the resulting version. With an empty
+// version it stores nothing and returns the version in this entry's table, which
+// may have expired, or "" if there is none.
 func (pi *Pins) storeCopy(key Key, version, replaced policy.VersionID, now time.Time) *rpc.PinResponse {
 	pn, known := pi.get(key, now)
 	if version == "" {
@@ -166,8 +173,8 @@
 	return &rpc.PinResponse{Version: string(pn.version)}
 }
 
-// fetchCopy returns the version of a session at the first other holder that has
-// a pin for it, or "" if none has.
+// fetchCopy returns the version from the first of the other holders that has a pin
+// for the session, or "" if none has.
 func (pi *Pins) fetchCopy(ctx context.Context, key Key, rq *rpc.PinRequest) policy.VersionID {
 	for _, ho := range pi.holdersOf(key) {
 		if ho.address == "" {
@@ -181,6 +188,7 @@
 	return ""
 }
 
+// sendCopies sends a pin to its holders other than this entry. It ignores errors.
 func (pi *Pins) sendCopies(ctx context.Context, key Key, version, replaced policy.VersionID, expiresAtMS int64) {
 	for _, ho := range pi.holdersOf(key) {
 		if ho.address == "" {
@@ -193,6 +201,8 @@
 	}
 }
 
+// get returns a session's pin, and reports whether there is one that has not
+// expired.
 func (pi *Pins) get(key Key, now time.Time) (pin, bool) {
 	pi.mu.Lock()
 	defer pi.mu.Unlock()
@@ -206,9 +216,9 @@
 	pi.putLocked(key, version, now)
 }
 
-// putIfAbsent pins a session to a version unless it has a pin that is not
-// replaced, and returns the version it is then pinned to. Either way it renews
-// the pin.
+// putIfAbsent pins a session to a version unless it has a pin to a version other
+// than replaced, and returns the version that it is then pinned to. Either way it
+// renews the pin.
 func (pi *Pins) putIfAbsent(key Key, version, replaced policy.VersionID, now time.Time) policy.VersionID {
 	pi.mu.Lock()
 	defer pi.mu.Unlock()
@@ -226,9 +236,9 @@
 	pi.pins[key] = pin{version: version, expiresAt: now.Add(pinTTL), renewAt: now.Add(renewInterval)}
 }
 
-// evictPins removes the expired pins. If they are too few, it also removes
-// arbitrary others until a sixteenth of maxPins is free: it visits every pin, so
-// it must not be needed again soon.
+// evictPins removes the expired pins. If that leaves less than a sixteenth of
+// maxPins free, it also removes arbitrary others until so much is free: it visits
+// every pin, so it must not be needed again soon.
 func (pi *Pins) evictPins(now time.Time) {
 	for key, pn := range pi.pins {
 		if now.After(pn.expiresAt) {
@@ -243,8 +253,9 @@
 	}
 }
 
-// Run checks at each interval whether entries have joined, left or restarted,
-// and then sends the pins to their new holders. It blocks until ctx is done.
+// Run checks at each interval whether entries have joined, left or restarted. If
+// so, it sends the pins to their holders, some of which may be new. It blocks until
+// ctx is done.
 func (pi *Pins) Run(ctx context.Context, interval time.Duration) {
 	for worker.Sleep(ctx, interval) {
 		if pi.entriesChanged() {
@@ -266,6 +277,7 @@
 	return changed
 }
 
+// replicatePins sends every pin in the table, cached ones included, to its holders.
 func (pi *Pins) replicatePins(ctx context.Context) {
 	pi.mu.Lock()
 	held := make(map[Key]pin, len(pi.pins))
--- a/session/token.go
+++ b/session/token.go
@@ -1,7 +1,7 @@
 // Package session keeps each session on one version of its model. A caller
-// either returns a signed token that names the version, or sends a session ID of
-// its own, whose version is pinned at two entries chosen by a hash of the
-// organisation, the model and the ID.
+// either returns the signed token that it got, which names the version, or sends a
+// session ID of its own. In the second case the version is pinned: it is stored at
+// two entries chosen by a hash of the organisation, the model and the ID.
 package session
 
 import (
@@ -27,8 +27,8 @@
 // maxTokenBytes is the largest accepted size of a token.
 const maxTokenBytes = 1024
 
-// encoding is strict: it rejects non-zero trailing padding bits, so that only one
-// text decodes to a given token.
+// encoding is strict: it rejects text whose unused last bits are not zero, so that
+// only one text decodes to given bytes.
 var encoding = base64.RawURLEncoding.Strict()
 
 // Claims is the signed content of a token.
@@ -65,19 +65,19 @@
 func (si *Signer) Check(token string) (Claims, error) {
 	text, mac, ok := strings.Cut(token, ".")
 	if !ok || len(token) > maxTokenBytes {
-		return Claims{}, eris.Wrap(ErrToken, "Signer.Check")
+		return Claims{}, eris.Wrap(ErrToken, "Signer.Check: want CLAIMS.SIGNATURE within the size limit")
 	}
 	received, err := encoding.DecodeString(mac)
 	if err != nil || !hmac.Equal(received, si.sign(text)) {
-		return Claims{}, eris.Wrap(ErrToken, "Signer.Check")
+		return Claims{}, eris.Wrap(ErrToken, "Signer.Check: signature does not match the claims")
 	}
 	body, err := encoding.DecodeString(text)
 	if err != nil {
-		return Claims{}, eris.Wrap(ErrToken, "Signer.Check")
+		return Claims{}, eris.Wrap(ErrToken, "Signer.Check: claims are not valid base64")
 	}
 	var cl Claims
 	if json.Unmarshal(body, &cl) != nil {
-		return Claims{}, eris.Wrap(ErrToken, "Signer.Check")
+		return Claims{}, eris.Wrap(ErrToken, "Signer.Check: claims are not valid JSON")
 	}
 	return cl, nil
 }
