--- a/configuration/holder.go
+++ b/configuration/holder.go
@@ -22,11 +22,13 @@
 	log *event.Log
 	set atomic.Pointer[policy.Set]
 
-	mu       sync.Mutex
-	changed  chan struct{}
+	mu      sync.Mutex
+	changed chan struct{}
+	// evidence is the latest time at which the set in force is known to have been
+	// the store's newest.
 	evidence time.Time
-	// availableSince is the time since which there has been evidence without a
-	// gap of more than maxEvidenceGap.
+	// availableSince is the time since which there has been evidence without a gap
+	// of more than maxEvidenceGap. It is the zero time if there has been no such gap.
 	availableSince time.Time
 }
 
@@ -48,8 +50,8 @@
 }
 
 // Update applies changes to the set in force and raises it to a revision. The
-// changes must include all that came after the set's revision, up to the given
-// one. Update does nothing if the given revision is not newer than the set's.
+// changes must include all those between the set's revision and the given one.
+// Update does nothing if the given revision is not newer than the set's.
 func (ho *Holder) Update(revision store.Revision, changes []policy.Stored) {
 	ho.swap(func(old *policy.Set) *policy.Set {
 		if revision <= old.Revision {
@@ -60,9 +62,9 @@
 }
 
 // UpdateFunc calls translate with the set in force and applies the changes that
-// it returns. The set stays locked against other changes meanwhile, so the result
-// may depend on it. The new revision is the greatest of the changes; UpdateFunc
-// does nothing if that is not newer than the set's.
+// it returns. The set cannot change in between, so the changes may depend on it.
+// The new revision is the greatest of the changes' revisions; UpdateFunc does
+// nothing if that is not newer than the set's.
 func (ho *Holder) UpdateFunc(translate func(se *policy.Set) []policy.Stored) {
 	ho.swap(func(old *policy.Set) *policy.Set {
 		changes := translate(old)
@@ -109,7 +111,7 @@
 	}
 }
 
-// Confirm records evidence that at a time revision was the store's newest. It is
+// Confirm records evidence that revision was the store's newest at a time. It is
 // ignored if the set in force is newer or there is later evidence.
 func (ho *Holder) Confirm(revision store.Revision, at time.Time) {
 	ho.mu.Lock()
@@ -129,7 +131,8 @@
 
 // StoreAvailableSince returns the time since which the store has answered this
 // daemon or one of its peers without a gap of more than maxEvidenceGap. It returns
-// a time after now if the store is unavailable.
+// the zero time if there has been no such gap yet, and a time after now if the
+// store is unavailable.
 func (ho *Holder) StoreAvailableSince(now time.Time) time.Time {
 	ho.mu.Lock()
 	defer ho.mu.Unlock()
--- a/configuration/watcher.go
+++ b/configuration/watcher.go
@@ -16,8 +16,8 @@
 // loaded again.
 const reopenDelay = 200 * time.Millisecond
 
-// Keys holds the prefix of the configuration in the store and returns the keys
-// under it. It implements Layout.
+// Keys returns the keys of the configuration in the store, all of which begin with
+// Root. It implements Layout.
 type Keys struct {
 	Root store.Key
 }
@@ -25,7 +25,8 @@
 // Records returns the prefix of all policy records.
 func (ke Keys) Records() store.Key { return ke.Root + "policy/" }
 
-// Record returns the store's key of the record with a key of the form kind/id.
+// Record returns the key in the store of the record whose own key, of the form
+// kind/id, is given.
 func (ke Keys) Record(key string) store.Key { return ke.Records() + store.Key(key) }
 
 // Head returns the key that every change writes, so that its revision orders the
@@ -35,22 +36,23 @@
 // All returns the common prefix of the records and the head.
 func (ke Keys) All() store.Key { return ke.Root + "policy" }
 
-// History returns the prefix of the past states of the record with a key of the
-// form kind/id.
+// History returns the prefix of the kept states of the record whose own key, of the
+// form kind/id, is given.
 func (ke Keys) History(key string) store.Key { return ke.Root + "history/" + store.Key(key) + "/" }
 
-// Layout maps the store's keys and values to policy records.
+// Layout maps the store's keys and values to policy records. Keys is the layout
+// that Writer writes.
 type Layout interface {
 	// Prefix returns the prefix of all keys to read and watch.
 	Prefix() store.Key
-	// Complete returns the records in a read of all keys, and the revision up
-	// to which they are complete.
+	// Complete returns the records in a page that holds all keys under Prefix, and
+	// the revision up to which these records include every change.
 	Complete(pa store.Page) ([]policy.Stored, store.Revision)
-	// Removes reports whether records are deleted from the store. If so, a
-	// complete read removes the records that it lacks from the set in force.
+	// Removes reports whether records are deleted from the store. If so, records
+	// that a read of all keys does not return are removed from the set in force.
 	Removes() bool
-	// Changed returns the changes to a set that follow from changes seen by a
-	// watch.
+	// Changed returns the changes of policy records that follow from the changes of
+	// keys that a watch reported. se is the set in force before them.
 	Changed(se *policy.Set, chs []store.Change) []policy.Stored
 }
 
@@ -61,7 +63,8 @@
 // store, only marked as deleted.
 func (ke Keys) Removes() bool { return false }
 
-// Complete implements Layout. The revision is the greatest of the records.
+// Complete implements Layout. The revision is the greatest of the records'
+// revisions.
 func (ke Keys) Complete(pa store.Page) ([]policy.Stored, store.Revision) {
 	var out []policy.Stored
 	newest := store.Revision(0)
@@ -88,7 +91,8 @@
 	store  store.Store
 	holder *Holder
 	log    *event.Log
-	// batchDelay returns how long to pause after changes have arrived.
+	// batchDelay returns how long the watch pauses after it reported changes; see
+	// SetBatchDelay.
 	batchDelay    func() time.Duration
 	watchesOpened atomic.Int64
 	// answeredAt is the time of the store's last answer and failedAt that of the
@@ -103,19 +107,22 @@
 }
 
 // SetBatchDelay sets a function that returns how long the watch pauses after each
-// answer with changes. For a store that takes one call per answer, changes made
-// during the pause arrive together in the next answer. It must be called before
-// Run.
+// answer with changes. If the store's watch is a series of calls with one answer
+// each, the changes made during the pause arrive together in the next answer.
+// SetBatchDelay must be called before Run.
 func (wa *Watcher) SetBatchDelay(delay func() time.Duration) { wa.batchDelay = delay }
 
 // WatchesOpened returns the number of watches opened so far.
 func (wa *Watcher) WatchesOpened() int64 { return wa.watchesOpened.Load() }
 
-// LastAnswer returns the time of the store's last answer.
+// LastAnswer returns the time of the store's last answer, or the Unix epoch if it
+// has not answered yet.
 func (wa *Watcher) LastAnswer() time.Time { return time.Unix(0, wa.answeredAt.Load()) }
 
 func (wa *Watcher) recordAnswer() { wa.answeredAt.Store(time.Now().UnixNano()) }
 
+// recordFailure records that a call to the store failed, and logs the first failure
+// after an answer.
 func (wa *Watcher) recordFailure() {
 	if at, failed := wa.answeredAt.Load(), wa.failedAt.Load(); at >= failed {
 		wa.log.Warn(event.StoreLost, nil, event.Fields{"last_answer": time.Unix(0, at)})
@@ -138,7 +145,7 @@
 }
 
 // load reads all records into the holder and returns the revision to watch from,
-// or 0 on failure. It ignores records that are older than the set in force.
+// or 0 on failure. It counts as a failure if the store is behind the set in force.
 func (wa *Watcher) load(ctx context.Context) store.Revision {
 	asked := time.Now()
 	pa, err := wa.store.Range(ctx, wa.layout.Prefix())
--- a/configuration/writer.go
+++ b/configuration/writer.go
@@ -16,11 +16,11 @@
 	"tanagerpoint.example/tanager/store"
 )
 
-// maxApplyAttempts is how often Apply tries to commit a request when concurrent
-// changes to other records are committed first.
+// maxApplyAttempts is how often Apply tries to commit a request while other changes
+// are committed between its read and its commit.
 const maxApplyAttempts = 16
 
-// maxHistory is how many states of a record TrimHistory keeps.
+// maxHistory is the number of states of a record that TrimHistory keeps.
 const maxHistory = 50
 
 // ErrFenced is returned for a change whose fence is a lease that is no longer
@@ -42,15 +42,16 @@
 	return fmt.Sprintf("%s was changed by %s in the meantime\n  yours:  %s\n  theirs: %s", co.Key, co.TheirBy, co.Mine, co.Theirs)
 }
 
-// Fence names a lease that must still be held when a change is committed: Key must
-// be at revision Token.
+// Fence is the condition that a lease is still held when a change is committed: Key
+// must still be at revision Token, which is the lease's fencing token.
 type Fence struct {
 	Key   store.Key
 	Token store.Revision
 }
 
-// Change is one record to write. Base is the record's revision that the change was
-// made from. If it is 0, Apply takes the revision that it reads first.
+// Change is one record to write. Base is the revision of the record that the change
+// was made from. If it is 0, Apply takes the revision that it finds on its first
+// read.
 type Change struct {
 	Record policy.Record
 	Base   store.Revision
@@ -67,7 +68,8 @@
 }
 
 // Result is the outcome of a request. Changed lists the keys of the records
-// written. Revision is 0 if no record differed from the stored one.
+// written. Revision is 0 if nothing was written, as when no record differed from the
+// stored one.
 type Result struct {
 	OperationID string
 	Revision    store.Revision
@@ -104,8 +106,9 @@
 }
 
 // Apply writes the records of a request. The error is or wraps a finding.List if
-// the request brings new mistakes, a *Conflict, ErrFenced, store.ErrUnavailable if
-// nothing was written, or store.ErrUnknown if that is not known.
+// the request introduces findings, a *Conflict if a record has changed since its
+// base, ErrFenced if the lease is no longer held, store.ErrUnavailable if nothing was
+// written, or store.ErrUnknown if it is not known whether the request was written.
 func (wr *Writer) Apply(ctx context.Context, rq Request) (Result, error) {
 	rs := Result{OperationID: ulid.Make().String()}
 	var first *policy.Set
@@ -141,7 +144,7 @@
 			return rs, eris.Wrap(ErrFenced, "Writer.Apply")
 		}
 	}
-	return rs, eris.Wrap(store.ErrUnavailable, "Writer.Apply: every attempt lost to a concurrent change")
+	return rs, eris.Wrap(store.ErrUnavailable, "Writer.Apply: other changes were committed first at every attempt")
 }
 
 func (wr *Writer) result(rs Result, ou store.Outcome, changed []policy.Record) Result {
@@ -195,8 +198,8 @@
 	return out, nil
 }
 
-// newFindings returns an error with the findings that the changes introduce.
-// Findings that the set has already do not block an unrelated change.
+// newFindings returns an error with the findings that the changed records introduce,
+// or nil. Findings that the set has already do not block an unrelated change.
 func newFindings(se *policy.Set, changed []policy.Record, place func(string) finding.Place) error {
 	if place == nil {
 		place = func(key string) finding.Place { return finding.Place{Section: key} }
@@ -211,6 +214,8 @@
 	return li.Err()
 }
 
+// commit writes the changed records if the head is still at the given revision and
+// the request's fence holds.
 func (wr *Writer) commit(ctx context.Context, rq Request, changed []policy.Record, head store.Revision, operation string) (store.Outcome, error) {
 	// The operation's history key shows whether an attempt whose answer was lost
 	// has been applied.
@@ -238,8 +243,9 @@
 	})
 }
 
-// History returns the kept states of the record with a key of the form kind/id,
-// oldest first.
+// History returns the kept states of the record whose own key, of the form kind/id,
+// is given, oldest first: their keys in the store end in the ULIDs of the operations
+// that wrote them.
 func (wr *Writer) History(ctx context.Context, key string) ([]policy.Record, error) {
 	pa, err := wr.store.Range(ctx, wr.keys.History(key))
 	if err != nil {
@@ -256,7 +262,8 @@
 	return out, nil
 }
 
-// TrimHistory deletes the oldest states of a record, so that maxHistory remain.
+// TrimHistory deletes the oldest states of a record from its history, so that at
+// most maxHistory remain.
 func (wr *Writer) TrimHistory(ctx context.Context, key string) error {
 	pa, err := wr.store.Range(ctx, wr.keys.History(key))
 	if err != nil {
