--- a/bill/bill.go
+++ b/bill/bill.go
@@ -1,12 +1,12 @@
 // Package bill stores exactly one bill for each answer that was delivered.
 //
 // A bill is copied to peers before the last byte of its answer is sent, and is
-// added to a batch. To seal a batch is to write it to the store. A batch is stored
-// as a sequence of parts, each created, never overwritten, under a key of the
-// owner's incarnation, the batch number and the part number. A batch is sealed by
-// its owner, or by a peer if the owner has failed. Either one reads the parts
-// that exist and appends a part with the bills that are missing, so that each
-// bill is stored once. spec/bill.pml is a model of this protocol.
+// added to a batch. To seal a batch is to write it to the store, as a sequence of
+// parts. The key of a part is made of the owner's incarnation, the batch number and
+// the part number; a part is only ever created, never overwritten. A batch is
+// sealed by its owner, or by a peer if the owner has failed. If parts of the batch
+// exist, either one reads them and appends a part with the bills that are missing,
+// so that each bill is stored once. spec/bill.pml is a model of this protocol.
 package bill
 
 import (
@@ -38,27 +38,27 @@
 	maxBatch = 2000
 	// copyTimeout is the timeout of a call to a peer that holds copies.
 	copyTimeout = 400 * time.Millisecond
-	// adoptAfter is how long after an owner's last heartbeat a peer seals its
-	// batches.
+	// adoptAfter is the time since an owner's last heartbeat after which a peer
+	// seals the owner's batches.
 	adoptAfter = 5 * time.Second
-	// checkAfter is how long a peer keeps copies without a notification that
-	// their batch is sealed, before it seals the batch itself.
+	// checkAfter is the time after the last copy of a batch arrived at which a peer
+	// seals the batch itself if it has not been notified that the batch is sealed.
 	checkAfter = time.Minute
 	// adoptInterval is the interval at which held batches are checked for failed
 	// owners.
 	adoptInterval = time.Second
-	// minSealInterval is the shortest pause between two batches. It also holds
-	// when bills wait for the store because no peer has taken a copy, so that the
+	// minSealInterval is the shortest pause between two rounds of sealing. It also
+	// holds when bills wait for the store because no peer has a copy, so that the
 	// store is not flooded with single bills.
 	minSealInterval = 25 * time.Millisecond
 	// entriesAtFullRate is the largest number of entries that seal at the
-	// configured interval. With more entries each seals less often, so that the
-	// store's write rate does not grow with their number.
+	// configured interval. If there are more, each of them seals less often, so that
+	// the store's write rate does not grow with their number.
 	entriesAtFullRate = 8
 )
 
-// ErrNotKept is returned for a bill that is not known to be stored by a peer or in
-// the store.
+// ErrNotKept is returned for a bill that neither a peer nor the store is known to
+// have.
 var ErrNotKept = eris.New("bill: not confirmed by a peer or the store")
 
 // Options configure a Book. Prefix is the prefix of its keys in the store, Copies
@@ -75,7 +75,7 @@
 type batch struct {
 	number BatchNumber
 	bills  []*rpc.Bill
-	// holders are the addresses of peers that have copies of some of the bills.
+	// holders are the addresses of peers that some of the bills were copied to.
 	holders []string
 	// sealed is closed when the batch is in the store.
 	sealed chan struct{}
@@ -109,18 +109,23 @@
 // locks of peers, never after; no call to a peer or the store is made while it is
 // held.
 type Book struct {
-	opt      Options
-	store    store.Store
-	peers    *peer.Group
-	log      *event.Log
-	group    *worker.Group
-	pending  chan *pendingBill
-	sealNow  chan struct{}
+	opt     Options
+	store   store.Store
+	peers   *peer.Group
+	log     *event.Log
+	group   *worker.Group
+	pending chan *pendingBill
+	// sealNow receives a value when the open batch must be sealed without waiting
+	// for the interval.
+	sealNow chan struct{}
+	// unsealed is the number of this entry's unsealed bills.
 	unsealed atomic.Int64
 
-	mu     sync.Mutex
+	mu sync.Mutex
+	// number is the number of the open batch, which new bills are added to.
 	number BatchNumber
 	open   *batch
+	// closed holds the batches that wait to be sealed, oldest first.
 	closed []*batch
 	held   map[heldKey]heldBatch
 	// unnotified maps the address of a holder to the numbers of sealed batches
@@ -142,8 +147,8 @@
 	return bo
 }
 
-// Close stops the book's goroutines and then tries once more to seal every batch
-// and to notify the holders.
+// Close stops the book's goroutines and then tries once to seal this entry's
+// remaining batches and to notify their holders.
 func (bo *Book) Close(ctx context.Context) {
 	bo.group.Close()
 	bo.closeBatch()
@@ -163,7 +168,7 @@
 // Unsealed returns the number of this entry's unsealed bills.
 func (bo *Book) Unsealed() int64 { return bo.unsealed.Load() }
 
-// Held returns the number of copies of peers' bills.
+// Held returns the number of copies of peers' bills that this entry has.
 func (bo *Book) Held() int {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
@@ -211,6 +216,7 @@
 	return bo.open
 }
 
+// closeBatch closes the open batch, unless it is empty, and opens a new one.
 func (bo *Book) closeBatch() {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
@@ -232,8 +238,8 @@
 	}
 }
 
-// waitSealed blocks until a batch is in the store. It returns ErrNotKept if ctx is
-// done first.
+// waitSealed blocks until a batch is in the store. The error wraps ErrNotKept if
+// ctx is done first.
 func waitSealed(ctx context.Context, ba *batch) error {
 	select {
 	case <-ba.sealed:
@@ -243,6 +249,7 @@
 	}
 }
 
+// sealLoop seals this entry's batches at each interval and on requestSeal.
 func (bo *Book) sealLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		tm := time.NewTimer(bo.sealInterval())
@@ -264,6 +271,8 @@
 	return bo.opt.SealEvery * time.Duration(max(entriesAtFullRate, entries)) / entriesAtFullRate
 }
 
+// sealClosed seals the closed batches in order until none is left or one cannot be
+// sealed.
 func (bo *Book) sealClosed(ctx context.Context) {
 	for {
 		bo.mu.Lock()
@@ -303,6 +312,8 @@
 	}
 }
 
+// takeUnnotified removes and returns the numbers of sealed batches that a holder
+// has not been notified of.
 func (bo *Book) takeUnnotified(ad string) []int64 {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
@@ -311,8 +322,8 @@
 	return out
 }
 
-// requeueUnnotified keeps the numbers of sealed batches after a failed
-// notification, to repeat it, unless the holder is no longer alive.
+// requeueUnnotified puts the numbers of sealed batches back after a failed
+// notification, so that it is repeated, unless the holder is no longer alive.
 func (bo *Book) requeueUnnotified(ad string, numbers []int64) {
 	alive := slices.ContainsFunc(bo.peers.Entries(), func(mb peer.Member) bool { return mb.PeerAddress == ad })
 	if len(numbers) == 0 || !alive {
--- a/bill/copy.go
+++ b/bill/copy.go
@@ -34,6 +34,9 @@
 	}
 }
 
+// copyRound adds bills to the open batch and copies them to peers. If no peer has
+// confirmed its copies, it requests that the batch is sealed, and the callers of
+// Add block until it is.
 func (bo *Book) copyRound(ctx context.Context, pbs []*pendingBill) {
 	bills := make([]*rpc.Bill, len(pbs))
 	for i, pb := range pbs {
@@ -58,8 +61,9 @@
 }
 
 // pickHolders returns the addresses of up to Copies entries for the next copies:
-// first the live holders of the open batch, then random entries in failure
-// domains not used yet, then any others. It leaves out draining entries.
+// first the live holders of the open batch, then random entries in failure domains
+// other than this entry's and those of the entries chosen before, then any others.
+// It leaves out draining entries.
 func (bo *Book) pickHolders() []string {
 	mbs := bo.peers.Entries()
 	bo.mu.Lock()
@@ -94,8 +98,9 @@
 	return chosen
 }
 
-// copyTo sends bills, and the numbers of sealed batches, to peers concurrently. It
-// returns the number of peers that confirmed.
+// copyTo sends bills of a batch to peers concurrently, and with them the numbers of
+// sealed batches that each has not been notified of. It returns the number of peers
+// that confirmed.
 func (bo *Book) copyTo(ctx context.Context, targets []string, number BatchNumber, bills []*rpc.Bill) int {
 	var copies atomic.Int64
 	wg := worker.NewGroup()
--- a/bill/hold.go
+++ b/bill/hold.go
@@ -27,8 +27,9 @@
 	}
 }
 
-// adopt seals the held batches of failed owners, and those whose owner sent no
-// notification in time. It stops at the first error.
+// adopt seals the held batches of failed owners, and those whose owner has not
+// notified this entry within checkAfter that they are sealed. It stops at the first
+// error.
 func (bo *Book) adopt(ctx context.Context) {
 	for key, hb := range bo.adoptable() {
 		if err := bo.seal(ctx, key.incarnation, key.number, hb.bills); err != nil {
@@ -40,6 +41,7 @@
 	}
 }
 
+// adoptable returns the held batches that this entry must seal now; see adopt.
 func (bo *Book) adoptable() map[heldKey]heldBatch {
 	now := time.Now()
 	bo.mu.Lock()
--- a/bill/list.go
+++ b/bill/list.go
@@ -19,8 +19,8 @@
 	// Stored is the number of bills in the store, duplicates included. It is
 	// greater than len(Bills)+len(Repeated) if a bill is stored twice.
 	Stored int
-	// Repeated are further bills of a request that has a bill already, because
-	// the caller repeated it with the same request ID. They are not charged.
+	// Repeated holds the further bills of requests that the caller repeated with the
+	// same request ID, so that another bill is in Bills. They are not charged.
 	Repeated []*rpc.Bill
 }
 
@@ -36,7 +36,7 @@
 	for _, kv := range pa.KeyValues {
 		var sb rpc.SealedBatch
 		if err := proto.Unmarshal(kv.Value, &sb); err != nil {
-			return Listing{}, eris.Wrapf(err, "bill.List: %s", kv.Key)
+			return Listing{}, eris.Wrapf(err, "bill.List: undecodable part %s", kv.Key)
 		}
 		for _, bi := range sb.GetBills() {
 			li.Stored++
--- a/bill/seal.go
+++ b/bill/seal.go
@@ -21,7 +21,7 @@
 // be called by the batch's owner and by peers at the same time.
 func (bo *Book) seal(ctx context.Context, in peer.Incarnation, number BatchNumber, bills []*rpc.Bill) error {
 	prefix := bo.batchPrefix(in, number)
-	// The first attempt writes part 0 without reading: that part exists only if
+	// The first attempt writes part 0 without reading first: part 0 exists only if
 	// the response to an earlier write was lost or another daemon has sealed.
 	part, missing := 0, bills
 	for {
@@ -63,7 +63,7 @@
 	for _, kv := range pa.KeyValues {
 		var sb rpc.SealedBatch
 		if err := proto.Unmarshal(kv.Value, &sb); err != nil {
-			return 0, nil, eris.Wrapf(err, "%s", kv.Key)
+			return 0, nil, eris.Wrapf(err, "undecodable part %s", kv.Key)
 		}
 		for _, bi := range sb.GetBills() {
 			have[bi.GetId()] = true
