--- a/router/change_test.go
+++ b/router/change_test.go
@@ -21,7 +21,7 @@
 func TestConfigurationIsAppliedByAllRouters(t *testing.T) {
 	withSite(t, testsite.RouterOptions{Routers: 3, Plains: 1}, func(t *testing.T, rs *testsite.RouterSite) {
 		rs.Configure(func(co *testsite.Configuration) {
-			co.Routes = co.Routes[:2]
+			co.Routes = co.Routes[:2] // without the route of SafeRoute
 			newKeyOnly(co)
 		})
 		time.Sleep(applyLimit)
@@ -66,6 +66,7 @@
 // TestStalledWatchIsReopened makes all open connections to the store drop data
 // without closing. Before, after a failed call the store's client reused another
 // pooled connection that had stalled as well, and the change was not seen in time.
+// The change removes all tenants, after which every key is accepted.
 func TestStalledWatchIsReopened(t *testing.T) {
 	withSite(t, testsite.RouterOptions{Routers: 1, Plains: 1}, func(t *testing.T, rs *testsite.RouterSite) {
 		rs.Net.Silence(testsite.Host(testsite.RouterName(1)), testsite.KVAddress)
@@ -94,10 +95,10 @@
 
 // TestDepartedReplicaGetsNoRequests checks that a replica that announces that it
 // drains, or whose registration is removed, gets no requests later than
-// applyLimit afterwards, at a router that was cut off from the store shortly
-// before. Such a router took its own outage for one of the store, kept the removed
-// replica for the lapse grace period, and counted that period from the next
-// request instead of from the removal.
+// applyLimit afterwards from a router that was cut off from the store shortly
+// before. Before, such a router took its own outage for one of the store and kept
+// the removed replica in use for the grace period of lapsed registrations, which
+// it counted from its next request instead of from the removal.
 func TestDepartedReplicaGetsNoRequests(t *testing.T) {
 	for name, leave := range map[string]func(rs *testsite.RouterSite){
 		"draining": func(rs *testsite.RouterSite) { rs.Register(testsite.PlainGroup, 1, "v1", "draining") },
@@ -145,7 +146,7 @@
 
 // TestLapsedRegistrationsAreKeptDuringGrace has all registrations lapse during a
 // store outage. The replicas stay in use for a grace period after the store is
-// back; then only the replica that registered again does.
+// back; after that, only the replica that registered again is used.
 func TestLapsedRegistrationsAreKeptDuringGrace(t *testing.T) {
 	withSite(t, testsite.RouterOptions{Routers: 2, Plains: 2}, func(t *testing.T, rs *testsite.RouterSite) {
 		rs.Store.SetFaults(standin.Faults{Down: true})
@@ -206,9 +207,9 @@
 
 // TestRemovalsReachRoutersThatMissedThem restarts one router after a route was
 // removed, so that it has never known the route, while the other router is cut off
-// from the store and can only learn from the restarted one. The restarted router
-// had no removal to pass on, so the other applied the new records beside the
-// removed route.
+// from the store and can only learn from the restarted one. The other router must
+// not keep the removed route. Before, the restarted router had no tombstone of it
+// to pass on, so the other applied the new records and kept the route.
 func TestRemovalsReachRoutersThatMissedThem(t *testing.T) {
 	withSite(t, testsite.RouterOptions{Routers: 2, Plains: 1}, func(t *testing.T, rs *testsite.RouterSite) {
 		rs.KillRouter(1)
@@ -216,7 +217,7 @@
 		rs.Configure(func(co *testsite.Configuration) {
 			added := co.Routes[1]
 			added.Name, added.Prefix = "r-new", "/new/"
-			co.Routes[2] = added
+			co.Routes[2] = added // in place of the route of SafeRoute
 		})
 		rs.StartRouter(1)
 		rs.Eventually(5*time.Second, "the router cut off from the store has the new route", func() bool {
--- a/router/recovery_test.go
+++ b/router/recovery_test.go
@@ -73,8 +73,8 @@
 }
 
 // TestRouterWithoutOutboundPathsLearnsFromPeers cuts a router's connections to the
-// store and to its only peer; the peer can still connect to it. The router cannot
-// fetch a newer policy, so the peer has to offer it.
+// store and to its only peer (port 83); the peer can still connect to it. The
+// router cannot fetch a newer policy, so the peer has to offer it.
 func TestRouterWithoutOutboundPathsLearnsFromPeers(t *testing.T) {
 	withSite(t, testsite.RouterOptions{Routers: 2, Plains: 1}, func(t *testing.T, rs *testsite.RouterSite) {
 		ho := testsite.Host(testsite.RouterName(2))
--- a/router/rollout.go
+++ b/router/rollout.go
@@ -13,7 +13,8 @@
 )
 
 const (
-	// rolloutTaskPrefix precedes the service's name in the name of a lease task.
+	// rolloutTaskPrefix precedes the service's name in the name of the task whose
+	// lease a router holds while it carries out an action of the roll-out.
 	rolloutTaskPrefix = "rollout/"
 	// preferredRouters is how many routers attempt a due action at once; the
 	// others attempt it only when it is overdue, see shouldAttempt.
@@ -45,9 +46,9 @@
 }
 
 // shouldAttempt reports whether this router attempts a roll-out's due action.
-// The preferred routers attempt it at once. Every router does so once the action
-// has been due for half a lease, because the preferred ones may be cut off from
-// the store.
+// The preferred routers attempt it at once. The others do so once the action has
+// been due for half the lease's time to live, because the preferred ones may be
+// cut off from the store.
 func (da *Daemon) shouldAttempt(now time.Time, id policy.RolloutID) bool {
 	since, ok := da.dueSince[id]
 	if !ok {
@@ -59,7 +60,7 @@
 
 // acquire tries to take a task's lease and returns its hold. The second result
 // is false when another router holds the task, or when the store failed or did
-// not answer within half a lease.
+// not answer within half the lease's time to live.
 func (da *Daemon) acquire(ctx context.Context, ta lease.Task) (lease.Hold, bool) {
 	ctx, cancel := context.WithTimeout(ctx, da.settings.GetRollout().GetLease().AsDuration()/2)
 	defer cancel()
--- a/router/rollout_test.go
+++ b/router/rollout_test.go
@@ -15,8 +15,8 @@
 // rolloutLimit is the time that a roll-out is ordered to take at most.
 const rolloutLimit = 24 * time.Second
 
-// sendLoad sends safe requests to the routers in turn for the given time, one
-// after the other, and returns the number of answers by status.
+// sendLoad sends safe requests one after the other, to the routers in turn, for the
+// given time, and returns the number of answers by status.
 func sendLoad(rs *testsite.RouterSite, lasts time.Duration, routers int) map[int]int {
 	out := map[int]int{}
 	started := time.Now()
@@ -64,18 +64,19 @@
 }
 
 // TestBadReleaseIsRolledBack checks that a failing release is rolled back soon,
-// also when only one router reaches the store, whichever it is. Before, only the
-// two preferred routers attempted the roll-back; when they were cut off from the
-// store, the bad release stayed in use.
+// also when only one router reaches the store: each of three in turn, of which at
+// least one is not a preferred router. Before, only the two preferred routers
+// attempted the roll-back; when they were cut off from the store, the bad release
+// stayed in use.
 func TestBadReleaseIsRolledBack(t *testing.T) {
-	for cut := range 4 {
-		t.Run(fmt.Sprint("without router ", cut), func(t *testing.T) {
+	for reaching := range 4 {
+		t.Run(fmt.Sprint("store reached by all (0) or only router ", reaching), func(t *testing.T) {
 			withSite(t, testsite.RouterOptions{Routers: 5, Plains: 2}, func(t *testing.T, rs *testsite.RouterSite) {
 				rs.OrderRollout(testsite.PlainGroup, "v2", rolloutLimit)
 				addRelease(rs, standin.ReplicaFaults{Status: 500})
 				time.Sleep(time.Second)
-				for n := 1; n <= 5 && cut > 0; n++ {
-					if n != cut {
+				for n := 1; n <= 5 && reaching > 0; n++ {
+					if n != reaching {
 						rs.Net.Cut(testsite.Host(testsite.RouterName(n)), testsite.KVAddress)
 					}
 				}
@@ -115,8 +116,8 @@
 
 // TestSessionsKeepTheirReleaseDuringTrial sends the requests of each session to the
 // routers in turn, before and during a roll-out's trial, and checks that no session
-// changes its release. Sessions that had begun before the trial were moved when
-// routers chose the release by the hash of the session alone.
+// changes its release. Before, routers chose the release by the hash of the session
+// alone, and moved sessions that had begun before the trial.
 func TestSessionsKeepTheirReleaseDuringTrial(t *testing.T) {
 	withSite(t, testsite.RouterOptions{Routers: 4, Engines: 2}, func(t *testing.T, rs *testsite.RouterSite) {
 		last := map[string]string{}
--- a/router/router.go
+++ b/router/router.go
@@ -36,20 +36,20 @@
 	publishInterval   = 400 * time.Millisecond
 	rolloutInterval   = 300 * time.Millisecond
 	idleInterval      = time.Second
-	// batchWait is how long the watch waits after a change, so that changes made
-	// close together arrive in one answer of the store: each call to the store
-	// is paid for. The wait grows with the number of routers; maxBatchWait
-	// bounds it. 2.2 s was too long: a router that learned of a roll-out that
-	// late had not told its peers which sessions use the current release, and
-	// they were moved to the new one.
-	batchWait    = 400 * time.Millisecond
-	maxBatchWait = 1200 * time.Millisecond
+	// minBatchDelay is how long the watch pauses after an answer with changes, so
+	// that changes made close together arrive in one answer of the store: each
+	// call to the store is paid for. In a large group the pause grows with the
+	// number of routers, up to maxBatchDelay. A pause of 2.2 s was too long: a
+	// router that learned of a roll-out that late had not told its peers which
+	// sessions use the current release, and those were moved to the new one.
+	minBatchDelay = 400 * time.Millisecond
+	maxBatchDelay = 1200 * time.Millisecond
 	// endpointProgressTimeout is how long an endpoint may send nothing during an
 	// answer when its route sets no limit.
 	endpointProgressTimeout = 2 * time.Second
 	// listenAfterDrain is how long new requests are still accepted after a
-	// graceful shutdown began: callers go on using an address that they have
-	// resolved before.
+	// graceful shutdown has begun: callers go on using an address that the
+	// directory gave them before.
 	listenAfterDrain = 2500 * time.Millisecond
 )
 
@@ -113,13 +113,15 @@
 		},
 		SharedKey: ps.GetSharedKey(), Interval: ps.GetInterval().AsDuration(), Fanout: int(ps.GetFanout()),
 		FailedAfter: ps.GetFailedAfter().AsDuration(), Seeds: ps.GetSeeds(),
+		// da.registry is not set yet: it is created with these options' Self.
 		PeerAddresses: func() []string { return da.registry.Addresses() },
 		Describe:      da.describe,
 	}
 }
 
 // describe sets the fields of this router's member record that change while it
-// runs: whether it drains and, in a small group, its requests in flight.
+// runs: whether it drains and, unless the group is large, its requests in flight.
+// In a large group the peers' knowledge of them would be out of date.
 func (da *Daemon) describe(me *rpc.Member) {
 	me.Draining = !da.relay.Ready()
 	if !da.peers.Large() {
@@ -144,6 +146,7 @@
 			return eris.Wrap(err, "Daemon.Start")
 		}
 	}
+	// The callers' listener is the last of those above.
 	da.callers = da.servers[len(da.servers)-1]
 	da.group.Go(da.watcher.Run)
 	da.group.Go(da.peers.Run)
@@ -164,10 +167,10 @@
 	})
 }
 
-// batchDelay returns how long the watcher waits before it asks the store for
-// further policy changes.
+// batchDelay returns how long the watcher pauses after each answer of the store
+// that contains changes.
 func (da *Daemon) batchDelay() time.Duration {
-	return min(da.peers.ScaleInterval(batchWait), maxBatchWait)
+	return min(da.peers.ScaleInterval(minBatchDelay), maxBatchDelay)
 }
 
 // exchange publishes this router's load and release health to its peers, and
@@ -187,7 +190,7 @@
 }
 
 // addresses returns the addresses of the routers that callers in a failure
-// domain should connect to.
+// domain should connect to. Routers read no VM list, so no VM counts as leaving.
 func (da *Daemon) addresses(domain policy.FailureDomain) []directory.Address {
 	cas := []directory.Candidate{{
 		VM: da.peers.VM(), Address: da.settings.GetListen().GetCallers(), FailureDomain: da.peers.FailureDomain(),
@@ -201,9 +204,9 @@
 }
 
 // Drain is the first part of a graceful shutdown. The daemon reports that it
-// is not ready, peers stop listing its address, and requests that still arrive
-// are served for listenAfterDrain. Drain blocks until every answer is complete
-// or ctx ends.
+// is not ready, peers leave its address out of the directory, and requests that
+// still arrive are served for listenAfterDrain. Drain blocks until every answer
+// is complete or ctx ends.
 func (da *Daemon) Drain(ctx context.Context) {
 	da.log.Info(event.Draining, event.Fields{"in_flight": da.relay.InFlight()})
 	da.relay.Drain()
--- a/router/serve_test.go
+++ b/router/serve_test.go
@@ -16,13 +16,14 @@
 	"tanagerpoint.example/tanager/testsite"
 )
 
-// request is one request of a caller. A zero field takes the default that do sets.
+// request is one request of a caller. do sets defaults for a zero router, method,
+// key and ctx.
 type request struct {
 	router int
-	id     string
+	id     string // the Attempt-Id header
 	path   string
 	key    string
-	after  string
+	after  string // the Last-Event-Id header
 	method string
 	header map[string]string
 	body   string
@@ -177,7 +178,7 @@
 // The router must not send the request again, and must not tell the caller that it
 // was not run.
 func TestUnsafeRequestRunsOnce(t *testing.T) {
-	for name, fa := range map[string]standin.ReplicaFaults{"torn": {Truncated: true}, "silent": {Silent: true}, "crossed": {OtherRequestID: "other"}, "busy status": {Status: http.StatusServiceUnavailable}} {
+	for name, fa := range map[string]standin.ReplicaFaults{"truncated": {Truncated: true}, "silent": {Silent: true}, "other request id": {OtherRequestID: "other"}, "busy status": {Status: http.StatusServiceUnavailable}} {
 		t.Run(name, func(t *testing.T) {
 			withSite(t, testsite.RouterOptions{Routers: 1, Plains: 3}, func(t *testing.T, rs *testsite.RouterSite) {
 				setFaults(rs, fa)
@@ -207,7 +208,7 @@
 // TestSafeRequestIsRetriedOnAnotherReplica has one replica of two fail in various
 // ways. The caller must get the other one's answer.
 func TestSafeRequestIsRetriedOnAnotherReplica(t *testing.T) {
-	for name, fa := range map[string]standin.ReplicaFaults{"torn": {Truncated: true}, "crossed": {OtherRequestID: "other"}, "failing": {Status: 500}, "refusing": {NotRun: true}, "silent": {Silent: true}, "unsigned": {Unsigned: true}} {
+	for name, fa := range map[string]standin.ReplicaFaults{"truncated": {Truncated: true}, "other request id": {OtherRequestID: "other"}, "failing": {Status: 500}, "refusing": {NotRun: true}, "silent": {Silent: true}, "unsigned": {Unsigned: true}} {
 		t.Run(name, func(t *testing.T) {
 			withSite(t, testsite.RouterOptions{Routers: 1, Plains: 2}, func(t *testing.T, rs *testsite.RouterSite) {
 				rs.Replicas[testsite.ReplicaID(testsite.PlainGroup, 1, "v1")].SetFaults(fa)
@@ -229,6 +230,7 @@
 		an := do(rs, request{id: "a", path: testsite.EngineRoute + "x"})
 		qt.Assert(t, an.err, qt.IsNil)
 		qt.Assert(t, eventIDs(an.body), qt.DeepEquals, []string{"1", "2", "3", "4", "5"})
+		// The stand-in's incomplete event ends with "tor".
 		qt.Assert(t, strings.Contains(an.body, "tor\n"), qt.IsFalse)
 		qt.Assert(t, runsOfRequest(rs, "a"), qt.HasLen, 3)
 	})
@@ -303,7 +305,7 @@
 	opt := standin.ReplicaOptions{Events: 3, Delay: 20 * time.Millisecond, Confidence: map[string]string{testsite.SmallModel: "10"}}
 	withSite(t, testsite.RouterOptions{Routers: 1, Engines: 2, Engine: opt}, func(t *testing.T, rs *testsite.RouterSite) {
 		setFaults(rs, standin.ReplicaFaults{NotRunModel: testsite.LargeModel})
-		// The large model refuses the request, so the router sends it to the small
+		// The large model refuses the request, so the router runs it on the small
 		// one again and delivers that answer.
 		an := do(rs, request{id: "a", path: testsite.EngineRoute + "x"})
 		qt.Assert(t, an.status, qt.Equals, http.StatusOK)
