--- a/directory/directory.go
+++ b/directory/directory.go
@@ -1,5 +1,5 @@
 // Package directory selects the entries or routers whose addresses are returned to
-// callers that ask where to connect. Below, entry means either of the two.
+// callers that ask where to connect. In this package, entry means either of the two.
 package directory
 
 import (
@@ -23,7 +23,7 @@
 type Addresses struct {
 	Entries []Address `json:"entries"`
 	// KeepUntil is the time from which the caller must ask again, KeepMS the
-	// milliseconds until then.
+	// milliseconds from the answer until then.
 	KeepUntil time.Time `json:"keep_until"`
 	KeepMS    int64     `json:"keep_ms"`
 }
@@ -45,11 +45,11 @@
 	InFlight      int64
 }
 
-// Select returns at most maxAddresses addresses for a caller in a failure domain, ""
-// when it is unknown. It leaves out the entries that drain or whose VM is leaving.
-// Entries with fewer requests in flight than the mean weigh more. The order is a
-// random one by weight, so that the load is also spread over callers that connect
-// to the first address.
+// Select returns at most maxAddresses addresses for a caller in a failure domain;
+// domain is "" when it is unknown. It leaves out the entries that drain or whose VM
+// is leaving. Entries with fewer requests in flight than the mean weigh more. The
+// order is random, and an entry of a greater weight is more likely to come early, so
+// that callers that connect to the first address are also spread by weight.
 func Select(cas []Candidate, leaving func(vm.ID) bool, domain policy.FailureDomain, rng *rand.Rand) []Address {
 	total := int64(0)
 	for _, ca := range cas {
--- a/network/network.go
+++ b/network/network.go
@@ -55,12 +55,12 @@
 }
 
 // Serve opens a listener and serves on it in a goroutine of gr until sv is closed.
-// It returns an error when the address cannot be listened on, and calls failed when
-// serving ends with an error later.
+// It returns an error if the listener cannot be opened, and calls failed if serving
+// ends later for another reason than the closing of sv.
 func (ne Network) Serve(gr *worker.Group, address string, sv *http.Server, failed func(err error)) error {
 	li, err := ne.Listen(address)
 	if err != nil {
-		return eris.Wrapf(err, "Network.Serve: %s", address)
+		return eris.Wrapf(err, "Network.Serve: listening on %s", address)
 	}
 	gr.Go(func(context.Context) {
 		if err := sv.Serve(li); !eris.Is(err, http.ErrServerClosed) {
--- a/vm/vm.go
+++ b/vm/vm.go
@@ -77,7 +77,7 @@
 	state  atomic.Pointer[listState]
 }
 
-// listState is the content of one answer of the platform. It does not change.
+// listState is the content of one answer of the platform. It is immutable.
 type listState struct {
 	vms []VM
 	// leaving holds the ids of the endpoints whose VMs are leaving.
@@ -146,11 +146,11 @@
 	}
 	defer func() { _ = rs.Body.Close() }()
 	if rs.StatusCode != http.StatusOK {
-		return eris.Errorf("List.poll: VM list answered with status %s", rs.Status)
+		return eris.Errorf("List.poll: VM list answered with status %s, want 200 OK", rs.Status)
 	}
 	var grs []TargetGroup
 	if err := json.NewDecoder(io.LimitReader(rs.Body, maxListBytes)).Decode(&grs); err != nil {
-		return eris.Wrap(err, "List.poll")
+		return eris.Wrap(err, "List.poll: decoding the VM list")
 	}
 	li.state.Store(newListState(grs))
 	return nil
--- a/worker/group.go
+++ b/worker/group.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// Every starts a goroutine that runs fn at once and again an interval after each
-// run has returned, until the group is closed.
+// Every starts a goroutine that calls fn at once, and again each time that interval
+// has passed since fn returned, until the group is closed.
 func (gr *Group) Every(interval time.Duration, fn func(ctx context.Context)) {
 	gr.Go(func(ctx context.Context) {
 		for ctx.Err() == nil {
@@ -60,8 +60,8 @@
 	gr.wait.Wait()
 }
 
-// Sleep blocks until an interval has passed or ctx is done, and reports whether
-// the interval has passed.
+// Sleep blocks until interval has passed or ctx is done, and reports whether the
+// interval has passed.
 func Sleep(ctx context.Context, interval time.Duration) bool {
 	tm := time.NewTimer(interval)
 	defer tm.Stop()
