--- a/entry/admin.go
+++ b/entry/admin.go
@@ -86,8 +86,8 @@
 	for _, fi := range se.Findings {
 		st.PolicyFindings = append(st.PolicyFindings, fi.String())
 	}
-	da.pools.each(func(id poolID, pl *pool) {
-		pl.gate.Update(func(qu *admission.Queue, _ time.Time) {
+	da.pools.each(func(id poolID, pq *poolQueue) {
+		pq.controller.Update(func(qu *admission.Queue, _ time.Time) {
 			running, waiting := qu.Load()
 			st.Pools[string(id)] = PoolState{Running: running, Waiting: waiting, Capacity: float64(qu.Capacity())}
 		})
--- a/entry/answer.go
+++ b/entry/answer.go
@@ -14,7 +14,7 @@
 	"tanagerpoint.example/tanager/rpc"
 )
 
-const billEvent = event.BillsNotCopied
+const billNotCopied = event.BillsNotCopied
 
 func billFields(bi *rpc.Bill) event.Fields {
 	return event.Fields{"bill": bi.GetId(), "organisation": bi.GetOrganisation(), "cost": bi.GetCost()}
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -134,7 +134,7 @@
 	}
 	return &problem{
 		status: http.StatusServiceUnavailable, code: string(admission.ReasonNoCapacity),
-		message: "no endpoint serves the version now", retryAt: time.Now().Add(overloadedRetryDelay),
+		message: "no endpoint serves the version now", retryAt: time.Now().Add(defaultRetryDelay),
 	}
 }
 
--- a/entry/caller.go
+++ b/entry/caller.go
@@ -51,12 +51,12 @@
 	organisationContextKey = "organisation"
 	maxIDBytes             = 256
 	// maxDiscardedBytes is how much of a body beyond the limit is read and dropped.
-	maxDiscardedBytes    = 1 << 20
-	isolatedRetryDelay   = 2 * time.Second
-	overloadedRetryDelay = time.Second
-	maxDeadline          = 24 * time.Hour
-	codeInvalid          = "invalid_request"
-	codeUnauthorised     = "invalid_api_key"
+	maxDiscardedBytes     = 1 << 20
+	unavailableRetryDelay = 2 * time.Second
+	defaultRetryDelay     = time.Second
+	maxDeadline           = 24 * time.Hour
+	codeInvalid           = "invalid_request"
+	codeUnauthorised      = "invalid_api_key"
 )
 
 // problem is an error response to a caller. An empty ran means NotRun; a zero
@@ -132,7 +132,7 @@
 	if n > da.settings.GetServing().GetMaxRequests() {
 		abortWithProblem(co, problem{
 			status: http.StatusServiceUnavailable, code: "too_many_requests_in_service",
-			message: "this entry serves as many requests as it may", retryAt: time.Now().Add(overloadedRetryDelay),
+			message: "this entry serves as many requests as it may", retryAt: time.Now().Add(defaultRetryDelay),
 		})
 		return
 	}
@@ -192,7 +192,7 @@
 }
 
 func unavailable(code, message string) *problem {
-	return &problem{status: http.StatusServiceUnavailable, code: code, message: message, retryAt: time.Now().Add(isolatedRetryDelay)}
+	return &problem{status: http.StatusServiceUnavailable, code: code, message: message, retryAt: time.Now().Add(unavailableRetryDelay)}
 }
 
 // request is what chat requests and service calls have in common.
--- a/entry/cascades.go
+++ b/entry/cascades.go
@@ -24,12 +24,12 @@
 	peers    *peer.Group
 	mu       sync.Mutex
 	choosers map[policy.CascadeID]*cascade.Chooser
-	// seenVersions are the versions of the items last processed, by key.
-	seenVersions map[string]peer.Version
+	// seenItems are the versions of the items last processed, by key.
+	seenItems map[string]peer.Version
 }
 
 func newCascades(pe *peer.Group) *cascades {
-	return &cascades{peers: pe, choosers: map[policy.CascadeID]*cascade.Chooser{}, seenVersions: map[string]peer.Version{}}
+	return &cascades{peers: pe, choosers: map[policy.CascadeID]*cascade.Chooser{}, seenItems: map[string]peer.Version{}}
 }
 
 // choose returns the arm for one request and updates the chooser's state.
@@ -58,10 +58,10 @@
 	ca.mu.Lock()
 	defer ca.mu.Unlock()
 	for _, it := range its {
-		if ca.seenVersions[it.Key] == it.Version {
+		if ca.seenItems[it.Key] == it.Version {
 			continue
 		}
-		ca.seenVersions[it.Key] = it.Version
+		ca.seenItems[it.Key] = it.Version
 		var ras rpc.Ratings
 		if proto.Unmarshal(it.Value, &ras) != nil {
 			continue
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -35,14 +35,14 @@
 )
 
 const (
-	readHeaderTimeout   = 5 * time.Second
-	readBodyTimeout     = 15 * time.Second
-	callerWriteTimeout  = 10 * time.Second
-	maxHeaderBytes      = 32 << 10
-	tickInterval        = 100 * time.Millisecond
-	refreshInterval     = 300 * time.Millisecond
-	publishInterval     = 400 * time.Millisecond
-	pinHandoverInterval = time.Second
+	readHeaderTimeout      = 5 * time.Second
+	readBodyTimeout        = 15 * time.Second
+	callerWriteTimeout     = 10 * time.Second
+	maxHeaderBytes         = 32 << 10
+	tickInterval           = 100 * time.Millisecond
+	refreshInterval        = 300 * time.Millisecond
+	publishInterval        = 400 * time.Millisecond
+	pinReplicationInterval = time.Second
 )
 
 // Daemon is one entry process. Its components are safe for concurrent use, and
@@ -181,7 +181,7 @@
 	da.group.Go(da.watcher.Run)
 	da.group.Go(da.vms.Run)
 	da.group.Go(da.peers.Run)
-	da.group.Go(func(ctx context.Context) { da.pins.Run(ctx, pinHandoverInterval) })
+	da.group.Go(func(ctx context.Context) { da.pins.Run(ctx, pinReplicationInterval) })
 	da.group.Every(tickInterval, da.tick)
 	da.group.Every(refreshInterval, da.refresh)
 	da.group.Every(publishInterval, da.publish)
--- a/entry/explain.go
+++ b/entry/explain.go
@@ -58,22 +58,22 @@
 // startRequest adds an empty step log for a request. It replaces that of an earlier
 // request with the same ID.
 func (exs *explanations) startRequest(rq *request) *stepLog {
-	out := &stepLog{explanation: Explanation{
+	sl := &stepLog{explanation: Explanation{
 		RequestID: rq.id, BillID: rq.billID, Organisation: rq.organisation, Arrived: rq.arrived, Deadline: rq.deadline,
 	}}
-	exs.byID.Add(rq.id, out)
-	return out
+	exs.byID.Add(rq.id, sl)
+	return sl
 }
 
 // get returns the explanation of a request, false when it is not kept.
 func (exs *explanations) get(id string) (Explanation, bool) {
-	out, ok := exs.byID.Get(id)
+	sl, ok := exs.byID.Get(id)
 	if !ok {
 		return Explanation{}, false
 	}
-	out.mu.Lock()
-	defer out.mu.Unlock()
-	return out.explanation, true
+	sl.mu.Lock()
+	defer sl.mu.Unlock()
+	return sl.explanation, true
 }
 
 // add appends a step with a formatted text and the current time.
--- a/entry/inflight.go
+++ b/entry/inflight.go
@@ -32,7 +32,7 @@
 	if or.MaxInFlight > 0 && in.counts[or.ID] >= limit {
 		return &problem{
 			status: http.StatusTooManyRequests, code: string(admission.ReasonOrganisationLimit),
-			message: "the organisation has as many requests in service as it may", retryAt: time.Now().Add(overloadedRetryDelay),
+			message: "the organisation has as many requests in service as it may", retryAt: time.Now().Add(defaultRetryDelay),
 		}
 	}
 	in.counts[or.ID]++
--- a/entry/pool.go
+++ b/entry/pool.go
@@ -35,10 +35,10 @@
 	minReportedUsage = 0.01
 )
 
-// pool is the queue of one pool and the estimates of its answers' length and
+// poolQueue is the queue of one pool and the estimates of its answers' length and
 // speed.
-type pool struct {
-	gate *admission.Controller
+type poolQueue struct {
+	controller *admission.Controller
 	// mu guards estimates.
 	mu        sync.Mutex
 	estimates map[policy.RankID]answerEstimate
@@ -62,43 +62,43 @@
 	// queuesRevision the one from which the queues were last refreshed.
 	endpointsRevision store.Revision
 	queuesRevision    store.Revision
-	// remoteVersions are the versions of the other entries' usage items last
+	// seenItems are the versions of the other entries' usage items last
 	// processed, by key.
-	remoteVersions     map[string]peer.Version
-	queues             map[poolID]*pool
+	seenItems          map[string]peer.Version
+	queues             map[poolID]*poolQueue
 	endpointsByPool    map[poolID]*placement.Pool
 	endpointsByVersion map[policy.VersionID]*placement.Pool
 }
 
 func newPools(da *Daemon) *pools {
-	return &pools{daemon: da, queues: map[poolID]*pool{}}
+	return &pools{daemon: da, queues: map[poolID]*poolQueue{}}
 }
 
 // get returns a pool, creating it if needed, and refreshes the queues first when
 // the pool is new or they are older than the policy in force.
-func (po *pools) get(id poolID) *pool {
+func (po *pools) get(id poolID) *poolQueue {
 	po.mu.Lock()
 	_, known := po.queues[id]
-	pl := po.getLocked(id)
+	pq := po.getLocked(id)
 	current := po.queuesRevision == po.daemon.holder.Set().Revision
 	po.mu.Unlock()
 	if !known || !current {
 		po.refresh()
 	}
-	return pl
+	return pq
 }
 
 // getLocked returns a pool, and creates it if needed. mu must be held.
-func (po *pools) getLocked(id poolID) *pool {
-	pl, ok := po.queues[id]
+func (po *pools) getLocked(id poolID) *poolQueue {
+	pq, ok := po.queues[id]
 	if !ok {
-		pl = &pool{
-			gate:      admission.NewController(int(po.daemon.settings.GetServing().GetMaxQueue())),
-			estimates: map[policy.RankID]answerEstimate{},
+		pq = &poolQueue{
+			controller: admission.NewController(int(po.daemon.settings.GetServing().GetMaxQueue())),
+			estimates:  map[policy.RankID]answerEstimate{},
 		}
-		po.queues[id] = pl
+		po.queues[id] = pq
 	}
-	return pl
+	return pq
 }
 
 // versionEndpoints returns the endpoints that serve a version according to the
@@ -131,30 +131,30 @@
 	if se.Revision == po.endpointsRevision && po.endpointsByVersion != nil {
 		return
 	}
-	versions, members := map[policy.VersionID][]policy.Endpoint{}, map[poolID][]policy.Endpoint{}
+	byVersion, byPool := map[policy.VersionID][]policy.Endpoint{}, map[poolID][]policy.Endpoint{}
 	for _, en := range se.Endpoints.List() {
 		if en.Kind == rpc.EndpointKind_PLAIN {
 			id := servicePool(policy.ServiceID(en.Service))
-			members[id] = append(members[id], en)
+			byPool[id] = append(byPool[id], en)
 			continue
 		}
-		models := map[poolID]bool{}
+		modelPools := map[poolID]bool{}
 		for _, name := range en.Versions {
 			id := policy.VersionID(name)
-			versions[id] = append(versions[id], en)
+			byVersion[id] = append(byVersion[id], en)
 			if ve, ok := se.Versions.ByID(id); ok {
-				models[modelPool(policy.ModelID(ve.Model))] = true
+				modelPools[modelPool(policy.ModelID(ve.Model))] = true
 			}
 		}
-		for id := range models {
-			members[id] = append(members[id], en)
+		for id := range modelPools {
+			byPool[id] = append(byPool[id], en)
 		}
 	}
 	po.endpointsByVersion, po.endpointsByPool = map[policy.VersionID]*placement.Pool{}, map[poolID]*placement.Pool{}
-	for id, ens := range versions {
+	for id, ens := range byVersion {
 		po.endpointsByVersion[id] = placement.NewPool(ens)
 	}
-	for id, ens := range members {
+	for id, ens := range byPool {
 		po.endpointsByPool[id] = placement.NewPool(ens)
 	}
 	po.endpointsRevision = se.Revision
@@ -170,9 +170,9 @@
 	po.mu.Lock()
 	po.rebuildLocked()
 	revision := po.endpointsRevision
-	members, ranks := po.endpointsByPool, ranksOf(po.daemon.holder.Set())
-	queues := make(map[poolID]*pool, len(members))
-	for id := range members {
+	endpoints, ranks := po.endpointsByPool, ranksOf(po.daemon.holder.Set())
+	queues := make(map[poolID]*poolQueue, len(endpoints))
+	for id := range endpoints {
 		queues[id] = po.getLocked(id)
 	}
 	maps.Copy(queues, po.queues)
@@ -181,17 +181,17 @@
 	if re.changed {
 		po.daemon.tracker.SetPeerInFlight(time.Now(), re.inFlight)
 	}
-	for id, pl := range queues {
-		slots := po.usableSlots(members[id])
-		capacity := slots * admission.CapacityShare(re.entries, pl.demand(), re.demand[id])
-		pl.gate.Update(func(qu *admission.Queue, now time.Time) {
+	for id, pq := range queues {
+		slots := po.usableSlots(endpoints[id])
+		capacity := slots * admission.CapacityShare(re.entries, pq.demand(), re.demand[id])
+		pq.controller.Update(func(qu *admission.Queue, now time.Time) {
 			qu.SetRanks(ranks)
 			qu.SetCapacity(now, admission.Slots(capacity))
 			if re.changed {
 				qu.SetFleet(now, admission.Fleet{Capacity: admission.Slots(slots), Report: re.reports[id]})
 			}
 		})
-		pl.gate.Tick()
+		pq.controller.Tick()
 	}
 	po.mu.Lock()
 	po.queuesRevision = max(po.queuesRevision, revision)
@@ -201,7 +201,7 @@
 // tick starts the requests that may now run in each queue, and refuses those that
 // can no longer meet their deadline.
 func (po *pools) tick() {
-	po.each(func(_ poolID, pl *pool) { pl.gate.Tick() })
+	po.each(func(_ poolID, pq *poolQueue) { pq.controller.Tick() })
 }
 
 func ranksOf(se *policy.Set) []admission.Rank {
@@ -262,8 +262,8 @@
 	}
 	po.mu.Lock()
 	defer po.mu.Unlock()
-	re.changed = !maps.Equal(seen, po.remoteVersions)
-	po.remoteVersions = seen
+	re.changed = !maps.Equal(seen, po.seenItems)
+	po.seenItems = seen
 	return re
 }
 
@@ -296,9 +296,9 @@
 }
 
 // demand returns the number of requests that run or wait in the queue.
-func (pl *pool) demand() float64 {
+func (pq *poolQueue) demand() float64 {
 	demand := 0.0
-	pl.gate.Update(func(qu *admission.Queue, _ time.Time) {
+	pq.controller.Update(func(qu *admission.Queue, _ time.Time) {
 		running, waiting := qu.Load()
 		demand = float64(running + waiting)
 	})
@@ -312,8 +312,8 @@
 	queues := maps.Clone(po.queues)
 	po.mu.Unlock()
 	us := &rpc.Usage{}
-	for id, pl := range queues {
-		us.Pools = append(us.Pools, pl.usage(id))
+	for id, pq := range queues {
+		us.Pools = append(us.Pools, pq.usage(id))
 	}
 	for id, n := range po.daemon.tracker.InFlight() {
 		us.Endpoints = append(us.Endpoints, &rpc.EndpointUsage{Endpoint: string(id), InFlight: int64(n)})
@@ -322,9 +322,9 @@
 }
 
 // usage returns the report on the queue for the other entries.
-func (pl *pool) usage(id poolID) *rpc.PoolUsage {
-	pu := &rpc.PoolUsage{Pool: string(id), Demand: pl.demand()}
-	pl.gate.Update(func(qu *admission.Queue, now time.Time) {
+func (pq *poolQueue) usage(id poolID) *rpc.PoolUsage {
+	pu := &rpc.PoolUsage{Pool: string(id), Demand: pq.demand()}
+	pq.controller.Update(func(qu *admission.Queue, now time.Time) {
 		re := qu.Report(now)
 		for _, ou := range re.Organisations {
 			pu.Organisations = append(pu.Organisations, &rpc.OrganisationUsage{
@@ -345,10 +345,10 @@
 
 // estimate returns the expected number of tokens of a rank's answer, at most
 // maxTokens when that is set, and the expected time to generate them.
-func (pl *pool) estimate(id policy.RankID, maxTokens int64) (tokens float64, duration time.Duration) {
-	pl.mu.Lock()
-	defer pl.mu.Unlock()
-	ae := pl.estimateLocked(id)
+func (pq *poolQueue) estimate(id policy.RankID, maxTokens int64) (tokens float64, duration time.Duration) {
+	pq.mu.Lock()
+	defer pq.mu.Unlock()
+	ae := pq.estimateLocked(id)
 	tokens = ae.tokensPerAnswer
 	if maxTokens > 0 {
 		tokens = min(tokens, float64(maxTokens))
@@ -357,8 +357,8 @@
 }
 
 // estimateLocked returns the rank's estimate, or the initial one. mu must be held.
-func (pl *pool) estimateLocked(id policy.RankID) answerEstimate {
-	if ae, ok := pl.estimates[id]; ok {
+func (pq *poolQueue) estimateLocked(id policy.RankID) answerEstimate {
+	if ae, ok := pq.estimates[id]; ok {
 		return ae
 	}
 	return answerEstimate{secondsPerToken: initialSecondsPerToken, tokensPerAnswer: initialTokensPerAnswer}
@@ -366,24 +366,24 @@
 
 // observe updates the rank's estimate with an answer that ended. An answer without
 // tokens is ignored.
-func (pl *pool) observe(id policy.RankID, tokens int64, took time.Duration) {
+func (pq *poolQueue) observe(id policy.RankID, tokens int64, took time.Duration) {
 	if tokens <= 0 {
 		return
 	}
-	pl.mu.Lock()
-	defer pl.mu.Unlock()
-	ae := pl.estimateLocked(id)
+	pq.mu.Lock()
+	defer pq.mu.Unlock()
+	ae := pq.estimateLocked(id)
 	ae.tokensPerAnswer += estimateSmoothing * (float64(tokens) - ae.tokensPerAnswer)
 	ae.secondsPerToken += estimateSmoothing * (took.Seconds()/float64(tokens) - ae.secondsPerToken)
-	pl.estimates[id] = ae
+	pq.estimates[id] = ae
 }
 
 // each calls fn for every pool, without holding mu.
-func (po *pools) each(fn func(id poolID, pl *pool)) {
+func (po *pools) each(fn func(id poolID, pq *poolQueue)) {
 	po.mu.Lock()
 	queues := maps.Clone(po.queues)
 	po.mu.Unlock()
-	for id, pl := range queues {
-		fn(id, pl)
+	for id, pq := range queues {
+		fn(id, pq)
 	}
 }
--- a/entry/rating.go
+++ b/entry/rating.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// maxQueuedRatings is the number of answers that may wait for the rating
+	// maxQueuedAnswers is the number of answers that may wait for the rating
 	// service.
-	maxQueuedRatings = 256
+	maxQueuedAnswers = 256
 	submitTimeout    = 2 * time.Second
 	// rolloutRatedShare is the minimum share of answers that is rated during a
 	// roll-out of their model.
@@ -34,7 +34,7 @@
 }
 
 func newRatingSubmitter(se *rating.Client) *ratingSubmitter {
-	return &ratingSubmitter{service: se, queue: make(chan rating.Answer, maxQueuedRatings)}
+	return &ratingSubmitter{service: se, queue: make(chan rating.Answer, maxQueuedAnswers)}
 }
 
 // submit queues an answer, or drops it when the queue is full. It does not block.
--- a/entry/resolve.go
+++ b/entry/resolve.go
@@ -90,7 +90,7 @@
 		versions = append(versions, ve)
 	}
 	if len(arms) == 0 {
-		return target{}, &problem{status: http.StatusServiceUnavailable, code: "no_capacity", message: "no model of the cascade can take it now", retryAt: time.Now().Add(overloadedRetryDelay)}
+		return target{}, &problem{status: http.StatusServiceUnavailable, code: "no_capacity", message: "no model of the cascade can take it now", retryAt: time.Now().Add(defaultRetryDelay)}
 	}
 	ci := da.cascades.choose(ca, ch.work, arms)
 	return target{model: arms[ci.Index].Model, version: versions[ci.Index], cascade: ca.ID, choice: ci}, nil
--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -29,36 +29,36 @@
 	holder *configuration.Holder
 	log    *event.Log
 
-	mu     sync.Mutex
-	guards map[policy.RolloutID]*guardedRollout
+	mu       sync.Mutex
+	observed map[policy.RolloutID]*observedRollout
 	// suspects are the candidate versions that this entry or another one found bad.
 	suspects map[policy.VersionID]bool
 }
 
-// guardedRollout is an active roll-out and the outcomes observed in it.
-type guardedRollout struct {
+// observedRollout is an active roll-out and the outcomes observed in it.
+type observedRollout struct {
 	rollout policy.Rollout
-	// phase identifies the run of the record that the counts belong to.
-	phase rolloutPhase
-	guard rollout.HealthTest
+	// versions identifies the run of the record that the counts belong to.
+	versions versionPair
+	health   rollout.HealthTest
 	// reason is why the candidate was found bad, "" when it was not.
 	reason string
 }
 
-// rolloutPhase distinguishes two runs of one roll-out record by their versions.
-type rolloutPhase struct {
+// versionPair distinguishes two runs of one roll-out record by their versions.
+type versionPair struct {
 	to   policy.VersionID
 	from policy.VersionID
 }
 
-func phaseOf(ro policy.Rollout) rolloutPhase {
-	return rolloutPhase{to: policy.VersionID(ro.ToVersion), from: policy.VersionID(ro.FromVersion)}
+func versionPairOf(ro policy.Rollout) versionPair {
+	return versionPair{to: policy.VersionID(ro.ToVersion), from: policy.VersionID(ro.FromVersion)}
 }
 
 func newRollouts(pe *peer.Group, ho *configuration.Holder, lo *event.Log) *rollouts {
 	return &rollouts{
 		peers: pe, holder: ho, log: lo,
-		guards: map[policy.RolloutID]*guardedRollout{}, suspects: map[policy.VersionID]bool{},
+		observed: map[policy.RolloutID]*observedRollout{}, suspects: map[policy.VersionID]bool{},
 	}
 }
 
@@ -85,29 +85,29 @@
 	}
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
-	gu := ro.getLocked(rec)
+	ob := ro.getLocked(rec)
 	switch tg.version.ID {
 	case policy.VersionID(rec.FromVersion):
-		gu.guard.Stable(ou)
+		ob.health.Stable(ou)
 	case policy.VersionID(rec.ToVersion):
-		gu.guard.Candidate(ou)
-		if gu.reason = gu.guard.RejectionReason(); gu.reason != "" && !ro.suspects[tg.version.ID] {
+		ob.health.Candidate(ou)
+		if ob.reason = ob.health.RejectionReason(); ob.reason != "" && !ro.suspects[tg.version.ID] {
 			ro.suspects[tg.version.ID] = true
-			ro.log.Warn(event.VersionSuspect, nil, event.Fields{"version": tg.version.ID, "reason": gu.reason})
+			ro.log.Warn(event.VersionSuspect, nil, event.Fields{"version": tg.version.ID, "reason": ob.reason})
 		}
 	}
 }
 
 // getLocked returns the state of a roll-out, and starts it anew when the record's
 // versions have changed. mu must be held.
-func (ro *rollouts) getLocked(rec policy.Rollout) *guardedRollout {
-	gu, ok := ro.guards[rec.ID]
-	if !ok || gu.phase != phaseOf(rec) {
-		gu = &guardedRollout{phase: phaseOf(rec)}
-		ro.guards[rec.ID] = gu
+func (ro *rollouts) getLocked(rec policy.Rollout) *observedRollout {
+	ob, ok := ro.observed[rec.ID]
+	if !ok || ob.versions != versionPairOf(rec) {
+		ob = &observedRollout{versions: versionPairOf(rec)}
+		ro.observed[rec.ID] = ob
 	}
-	gu.rollout = rec
-	return gu
+	ob.rollout = rec
+	return ob
 }
 
 // refresh removes the state of ended roll-outs, and sets the suspects from this
@@ -123,16 +123,16 @@
 	}
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
-	for id := range ro.guards {
+	for id := range ro.observed {
 		if rec, ok := se.Rollouts.ByID(id); !ok || !rec.Active() {
-			delete(ro.guards, id)
+			delete(ro.observed, id)
 		}
 	}
 	ro.suspects = map[policy.VersionID]bool{}
 	for _, rec := range se.Rollouts.List() {
 		id := policy.VersionID(rec.ToVersion)
-		gu, ok := ro.guards[rec.ID]
-		if rec.Active() && (reported[id] || ok && gu.reason != "") {
+		ob, ok := ro.observed[rec.ID]
+		if rec.Active() && (reported[id] || ok && ob.reason != "") {
 			ro.suspects[id] = true
 		}
 	}
@@ -143,10 +143,10 @@
 func (ro *rollouts) publish() {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
-	for id, gu := range ro.guards {
+	for id, ob := range ro.observed {
 		ro.peers.Publish(HealthPrefix+string(id)+"/"+string(ro.peers.VM()), &rpc.VersionHealth{
-			Version: gu.rollout.ToVersion, Answers: gu.guard.Answers, Failures: gu.guard.Failures,
-			Suspect: gu.reason != "", Reason: gu.reason,
+			Version: ob.rollout.ToVersion, Answers: ob.health.Answers, Failures: ob.health.Failures,
+			Suspect: ob.reason != "", Reason: ob.reason,
 		})
 	}
 }
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -27,8 +27,8 @@
 	// billCopyTimeout is the longest time that the end of an answer is held back
 	// until the copies of its bill are stored.
 	billCopyTimeout = 1500 * time.Millisecond
-	// secondsPerPromptKiloToken is the expected time to process 1000 prompt tokens.
-	secondsPerPromptKiloToken = 0.1
+	// secondsPerThousandPromptTokens is the expected time to process 1000 prompt tokens.
+	secondsPerThousandPromptTokens = 0.1
 )
 
 // serveChat runs a chat request and writes the response. It chooses the version
@@ -52,7 +52,7 @@
 	}
 	da.abortChat(co, ch, sl, problem{
 		status: http.StatusServiceUnavailable, code: "version_withdrawn",
-		message: "the versions were withdrawn one after the other", retryAt: time.Now().Add(overloadedRetryDelay),
+		message: "the versions were withdrawn one after the other", retryAt: time.Now().Add(defaultRetryDelay),
 	})
 }
 
@@ -71,18 +71,18 @@
 // relays the answer. A nil error means that a response was started; otherwise the
 // error is errWithdrawn or a *problem.
 func (da *Daemon) runChat(ctx context.Context, co *gin.Context, ch *chatRequest, tg target, sl *stepLog) error {
-	pl := da.pools.get(modelPool(tg.model))
-	ti, pr := da.chatTicket(ch, pl)
+	pq := da.pools.get(modelPool(tg.model))
+	ti, pr := da.chatTicket(ch, pq)
 	if pr != nil {
 		return pr
 	}
-	if err := pl.gate.Acquire(ctx, ti); err != nil {
+	if err := pq.controller.Acquire(ctx, ti); err != nil {
 		pr := admissionProblem(err)
 		return &pr
 	}
 	da.metrics.QueueWait.Record(co, time.Since(ch.arrived).Seconds(), metric.With(metric.KeyRank, string(ch.rank.ID)))
 	served := admission.Cost(0)
-	defer func() { pl.gate.Release(ti, served) }()
+	defer func() { pq.controller.Release(ti, served) }()
 	startedAt := time.Now()
 	at := &attempts{daemon: da, chat: ch, target: tg, steps: sl}
 	op, err := at.open(ctx)
@@ -95,7 +95,7 @@
 	result := placement.Succeeded
 	switch {
 	case an.failure == nil:
-		pl.observe(ch.rank.ID, int64(an.outputTokens()), time.Since(startedAt))
+		pq.observe(ch.rank.ID, int64(an.outputTokens()), time.Since(startedAt))
 	case an.callerGone || ctx.Err() != nil:
 		result = placement.Neutral
 	default:
@@ -109,16 +109,16 @@
 
 // chatTicket returns the request's ticket for a queue, with its cost in expected
 // tokens and the latest start by which it can meet its deadline.
-func (da *Daemon) chatTicket(ch *chatRequest, pl *pool) (*admission.Ticket, *problem) {
+func (da *Daemon) chatTicket(ch *chatRequest, pq *poolQueue) (*admission.Ticket, *problem) {
 	or, ok := da.holder.Set().Organisations.ByID(ch.organisation)
 	if !ok {
 		return nil, unknownModel(ch.modelName)
 	}
-	tokens, lasts := pl.estimate(ch.rank.ID, ch.maxTokens)
-	reading := time.Duration(float64(ch.promptTokens()) / 1000 * secondsPerPromptKiloToken * float64(time.Second))
+	tokens, generation := pq.estimate(ch.rank.ID, ch.maxTokens)
+	promptTime := time.Duration(float64(ch.promptTokens()) / 1000 * secondsPerThousandPromptTokens * float64(time.Second))
 	return &admission.Ticket{
 		Organisation: ch.organisation, Share: or.Share, Rank: ch.rank.ID,
-		Cost: admission.Cost(tokens), LatestStart: admission.LatestStart(ch.arrived, ch.deadline.Add(-reading), lasts),
+		Cost: admission.Cost(tokens), LatestStart: admission.LatestStart(ch.arrived, ch.deadline.Add(-promptTime), generation),
 	}, nil
 }
 
@@ -130,7 +130,7 @@
 	if errors.Is(err, errWithdrawn) || errors.As(err, &pr) {
 		return err
 	}
-	out := &problem{status: http.StatusBadGateway, code: "endpoint_failed", message: err.Error(), retryAt: time.Now().Add(overloadedRetryDelay)}
+	out := &problem{status: http.StatusBadGateway, code: "endpoint_failed", message: err.Error(), retryAt: time.Now().Add(defaultRetryDelay)}
 	var fa *endpoint.Failure
 	switch {
 	case errors.As(err, &fa) && fa.InvalidRequest():
@@ -260,7 +260,7 @@
 	case "cut", "deadline":
 		aw.abort(problem{
 			status: http.StatusBadGateway, code: "answer_incomplete", ran: RanUnknown,
-			message: "the answer was cut off and is not billed: " + an.failure.Error(), retryAt: time.Now().Add(overloadedRetryDelay),
+			message: "the answer was cut off and is not billed: " + an.failure.Error(), retryAt: time.Now().Add(defaultRetryDelay),
 		})
 	}
 	an.daemon.recordRequest(co, an.chat.request, outcome)
@@ -286,7 +286,7 @@
 	ctx, cancel := context.WithTimeout(da.group.Context(), billCopyTimeout)
 	defer cancel()
 	if err := da.book.Add(ctx, bi); err != nil {
-		da.log.Warn(billEvent, err, billFields(bi))
+		da.log.Warn(billNotCopied, err, billFields(bi))
 	}
 	da.metrics.Answers.Add(ctx, 1, metric.With(metric.KeyVersion, bi.GetVersion()))
 	da.metrics.CostMicro.Add(ctx, bi.GetCost(), metric.With(metric.KeyVersion, bi.GetVersion()))
--- a/entry/service.go
+++ b/entry/service.go
@@ -103,16 +103,16 @@
 // serveCall waits in the queue for a slot and runs the call. A call that may not be
 // repeated and has an idempotency key is claimed in the store before it is run.
 func (da *Daemon) serveCall(ctx context.Context, co *gin.Context, ca *serviceCall) *problem {
-	pl := da.pools.get(servicePool(ca.service.ID))
+	pq := da.pools.get(servicePool(ca.service.ID))
 	ti, pr := da.callTicket(ca)
 	if pr != nil {
 		return pr
 	}
-	if err := pl.gate.Acquire(ctx, ti); err != nil {
+	if err := pq.controller.Acquire(ctx, ti); err != nil {
 		pr := admissionProblem(err)
 		return &pr
 	}
-	defer pl.gate.Release(ti, 1)
+	defer pq.controller.Release(ti, 1)
 	if ca.repeatable() || ca.idempotencyKey == "" {
 		return da.runCall(ctx, co, ca, nil)
 	}
@@ -126,7 +126,7 @@
 	case err != nil:
 		return &problem{
 			status: http.StatusServiceUnavailable, code: "claim_unavailable",
-			message: "the call cannot be claimed now and was not run", retryAt: time.Now().Add(isolatedRetryDelay),
+			message: "the call cannot be claimed now and was not run", retryAt: time.Now().Add(unavailableRetryDelay),
 		}
 	case ho == nil:
 		return da.answerDuplicate(co, ca, found)
@@ -187,7 +187,7 @@
 		again := n < da.settings.GetServing().GetMaxAttempts() && ctx.Err() == nil && (ca.repeatable() || !sent)
 		if !again || !da.budget.Take() {
 			return da.failCall(ho, sent, problem{
-				status: http.StatusBadGateway, code: "endpoint_failed", message: err.Error(), retryAt: time.Now().Add(overloadedRetryDelay),
+				status: http.StatusBadGateway, code: "endpoint_failed", message: err.Error(), retryAt: time.Now().Add(defaultRetryDelay),
 			})
 		}
 	}
@@ -200,7 +200,7 @@
 	if !ok {
 		return en, endpoint.PlainAnswer{}, &problem{
 			status: http.StatusServiceUnavailable, code: string(admission.ReasonNoCapacity),
-			message: "no endpoint serves the service now", retryAt: time.Now().Add(overloadedRetryDelay),
+			message: "no endpoint serves the service now", retryAt: time.Now().Add(defaultRetryDelay),
 		}, nil
 	}
 	if pr := da.callProblem(ca); pr != nil {
