--- a/finding/finding.go
+++ b/finding/finding.go
@@ -7,13 +7,13 @@
 	"strings"
 )
 
-// Place is where a mistake was found. Section is an INI section or the key of a
-// policy record, Key an INI key or the path of a record's field. Each field may be
-// empty.
+// Place is where a mistake was found. Each field may be empty.
 type Place struct {
-	File    string
+	File string
+	// Section is an INI section or the key of a policy record.
 	Section string
-	Key     string
+	// Key is an INI key or the path of a field in the record.
+	Key string
 }
 
 // String returns the place in the form "file: [section] key", without the parts
@@ -38,13 +38,14 @@
 	Message string
 }
 
-// String returns the place and the message in the form "place: message".
+// String returns the place and the message in the form "place: message". A place
+// that is only a file already ends in a colon.
 func (fi Finding) String() string {
 	return fmt.Sprintf("%s: %s", strings.TrimSuffix(fi.Place.String(), ":"), fi.Message)
 }
 
-// List is a list of findings. It implements error; Err returns it as one only if it
-// is not empty.
+// List is a list of findings. It implements error, but an empty List as an error is
+// not nil: functions return Err() instead.
 type List []Finding
 
 // Add appends a finding, with a message formatted as by fmt.Sprintf.
