--- a/rating/rating.go
+++ b/rating/rating.go
@@ -18,22 +18,26 @@
 
 const (
 	callTimeout = 2 * time.Second
-	// maxResponseBytes is the length to which a response is cut off.
+	// maxResponseBytes is how much of a response is read. The rest of a longer one is
+	// dropped.
 	maxResponseBytes = 8 << 20
 )
 
 // Answer is an answer submitted for rating.
 type Answer struct {
-	RequestID string          `json:"request_id"`
-	Cascade   string          `json:"cascade"`
-	Work      string          `json:"work"`
-	Version   string          `json:"version"`
-	Messages  json.RawMessage `json:"messages"`
-	Text      string          `json:"text"`
+	// RequestID identifies the answer in its Rating.
+	RequestID string `json:"request_id"`
+	// Cascade is empty if the request named no cascade.
+	Cascade string `json:"cascade"`
+	// Work is the kind of work that the caller named, empty if it named none.
+	Work     string          `json:"work"`
+	Version  string          `json:"version"`
+	Messages json.RawMessage `json:"messages"`
+	Text     string          `json:"text"`
 }
 
-// Rating is the rating of one answer. Sequence orders the ratings, for
-// RatingsAfter. Quality is from 0 to 1.
+// Rating is the rating of one answer. Sequence is its place in the order of the
+// service's ratings. Quality is from 0 to 1.
 type Rating struct {
 	Sequence  int64   `json:"sequence"`
 	RequestID string  `json:"request_id"`
@@ -49,7 +53,8 @@
 	client *http.Client
 }
 
-// NewClient returns a client of the service at a base URL.
+// NewClient returns a client of the service at a base URL. It keeps at most two idle
+// connections.
 func NewClient(url string, ne network.Network) *Client {
 	return &Client{url: url, client: ne.Client(2)}
 }
@@ -67,8 +72,7 @@
 	return eris.Wrap(err, "Client.Submit")
 }
 
-// RatingsAfter returns the ratings with a greater sequence number than the given
-// one.
+// RatingsAfter returns the ratings whose sequence number is greater than sequence.
 func (cl *Client) RatingsAfter(ctx context.Context, sequence int64) ([]Rating, error) {
 	text, err := cl.call(ctx, http.MethodGet, "/v1/ratings?after="+strconv.FormatInt(sequence, 10), nil)
 	if err != nil {
@@ -93,7 +97,7 @@
 	}
 	defer func() { _ = rs.Body.Close() }()
 	if rs.StatusCode >= http.StatusBadRequest {
-		return nil, eris.Errorf("rating service returned status %s", rs.Status)
+		return nil, eris.Errorf("rating service: got status %s, want one below 400", rs.Status)
 	}
 	return io.ReadAll(io.LimitReader(rs.Body, maxResponseBytes))
 }
