--- a/entry/answer.go
+++ b/entry/answer.go
@@ -9,17 +9,9 @@
 	"github.com/tidwall/gjson"
 	"github.com/tidwall/sjson"
 
-	"tanagerpoint.example/tanager/event"
 	"tanagerpoint.example/tanager/policy"
-	"tanagerpoint.example/tanager/rpc"
 )
 
-const billNotCopied = event.BillsNotCopied
-
-func billFields(bi *rpc.Bill) event.Fields {
-	return event.Fields{"bill": bi.GetId(), "organisation": bi.GetOrganisation(), "cost": bi.GetCost()}
-}
-
 // usage is the usage object of the OpenAI API.
 type usage struct {
 	PromptTokens     policy.Tokens `json:"prompt_tokens"`
@@ -148,8 +140,12 @@
 	}
 }
 
+// maxToolCalls is the maximum number of tool calls in one choice. It is needed since
+// the list is extended up to an index that the endpoint chooses.
+const maxToolCalls = 256
+
 // mergeTool appends a delta to the tool call with its index, or to a new one when
-// it has none. It ignores an index outside the bounds of maxToolCalls.
+// it has no index. It ignores a negative index and one from maxToolCalls on.
 func (ch *choice) mergeTool(tc toolCall) {
 	index := len(ch.Message.ToolCalls)
 	if tc.Index != nil {
@@ -167,10 +163,6 @@
 	have.Function.Arguments += tc.Function.Arguments
 }
 
-// maxToolCalls is the maximum number of tool calls in one choice, since the
-// endpoint chooses the index.
-const maxToolCalls = 256
-
 // concat returns the concatenation of two optional strings, nil when both are.
 func concat(have, more *string) *string {
 	if more == nil {
@@ -204,7 +196,8 @@
 	// writeChunk processes one chunk. An error means that the caller cannot be
 	// reached any more.
 	writeChunk(data []byte) error
-	// complete writes what remains of a complete answer.
+	// complete writes the part of the answer that writeChunk has not written. It is
+	// called after the last chunk of a complete answer.
 	complete(an answerBuilder)
 	// abort writes an error in place of the rest of an incomplete answer.
 	abort(pr problem)
@@ -215,6 +208,8 @@
 	co *gin.Context
 }
 
+// writeChunk writes nothing, since complete writes the whole answer. It only checks
+// that the caller is still connected.
 func (bw *bufferedWriter) writeChunk([]byte) error { return bw.co.Request.Context().Err() }
 
 func (bw *bufferedWriter) complete(an answerBuilder) {
@@ -222,14 +217,14 @@
 	bw.co.JSON(http.StatusOK, an.completion())
 }
 
+func (bw *bufferedWriter) abort(pr problem) { abortWithProblem(bw.co, pr) }
+
 // setWriteDeadline gives the caller callerWriteTimeout to read what is written
 // next.
 func setWriteDeadline(co *gin.Context) {
 	_ = http.NewResponseController(co.Writer).SetWriteDeadline(time.Now().Add(callerWriteTimeout))
 }
 
-func (bw *bufferedWriter) abort(pr problem) { abortWithProblem(bw.co, pr) }
-
 // streamWriter writes the answer as server-sent events.
 type streamWriter struct {
 	co           *gin.Context
@@ -238,8 +233,8 @@
 	// finalChunk is the chunk with the finish reason. It is held back until the
 	// usage has arrived and the bill has been recorded.
 	finalChunk []byte
-	// usageChunk is the chunk that has only the usage. It is sent when the caller
-	// asked for it.
+	// usageChunk is the chunk that has only the usage. It is held back too, and sent
+	// only if the caller asked for it.
 	usageChunk []byte
 }
 
@@ -252,6 +247,8 @@
 	return &streamWriter{co: co, rc: http.NewResponseController(co.Writer), includeUsage: includeUsage}
 }
 
+// writeChunk writes the chunk as an event, or holds it back for complete if it is
+// the final or the usage chunk.
 func (sw *streamWriter) writeChunk(data []byte) error {
 	switch {
 	case gjson.GetBytes(data, "choices.0.finish_reason").Str != "":
@@ -278,6 +275,8 @@
 	return sw.rc.Flush()
 }
 
+// complete sends the final chunk with the usage added to it, the usage chunk if the
+// caller asked for it, and the [DONE] event.
 func (sw *streamWriter) complete(an answerBuilder) {
 	if sw.finalChunk != nil {
 		if us, err := json.Marshal(an.usage); err == nil && an.usage != nil {
@@ -302,17 +301,3 @@
 	}
 	_ = sw.writeEvent(text)
 }
-
-// shouldRate reports whether the answer's text is sent to the rating service.
-func (an *answerRelay) shouldRate() bool {
-	return an.daemon.ratings != nil && an.chat.inRatingSample(an)
-}
-
-// submitForRating queues the answer for the rating service if it is in the
-// sample.
-func (an *answerRelay) submitForRating() {
-	if !an.shouldRate() {
-		return
-	}
-	an.daemon.ratings.submit(ratingAnswer(an))
-}
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -20,12 +20,13 @@
 	"tanagerpoint.example/tanager/rollout"
 )
 
-// errWithdrawn is returned when the version may no longer run for the organisation
-// at the time of the send, although it could at admission. The request is then
-// resolved again.
+// errWithdrawn is returned when the policy allowed the version when it was chosen,
+// but does not at the time of the send: the version was withdrawn, or the
+// organisation may not use it any more. serveChat then chooses the version again.
 var errWithdrawn = eris.New("version withdrawn between admission and send")
 
-// openedAnswer is an answer of which the first event, or the end, was received.
+// openedAnswer is an answer whose first event was received, or which ended without
+// one.
 type openedAnswer struct {
 	stream   *endpoint.Stream
 	first    endpoint.Event
@@ -46,8 +47,8 @@
 }
 
 // open sends the request to one endpoint after another until one starts to
-// answer or no retry is allowed. The error is an *endpoint.Failure, errWithdrawn
-// or a *problem.
+// answer or no retry is allowed. Every retry uses a new connection. The error is an
+// *endpoint.Failure, errWithdrawn or a *problem.
 func (at *attempts) open(ctx context.Context) (*openedAnswer, error) {
 	da := at.daemon
 	for n := int64(1); ; n++ {
@@ -76,8 +77,9 @@
 	return true
 }
 
-// attemptOnce sends the request to one endpoint; fresh asks for a new connection.
-// The policy in force is checked last, immediately before the send.
+// attemptOnce sends the request to one endpoint that was not tried before, on a new
+// connection if fresh is set. The policy in force is checked last, immediately
+// before the send.
 func (at *attempts) attemptOnce(ctx context.Context, fresh bool) (*openedAnswer, error) {
 	da, ve := at.daemon, at.target.version
 	body, err := at.chat.engineBody(ve)
@@ -127,7 +129,7 @@
 }
 
 // noEndpointError returns the error for a request that has no endpoint left to
-// try: the last failure, or a problem when nothing was tried.
+// try: the failure of the last attempt, or a *problem when there was no attempt.
 func (at *attempts) noEndpointError() error {
 	if at.lastFailure != nil {
 		return at.lastFailure
@@ -139,8 +141,9 @@
 }
 
 // recordFailure records a failed attempt with the endpoint, the metrics and the
-// roll-out, and returns the failure. Mistakes of the caller and attempts that
-// ended with ctx count neither against the endpoint nor against the version.
+// roll-out, and returns the failure. A request that the endpoint rejected as
+// invalid and an attempt that ended with ctx count neither against the endpoint nor
+// against the version.
 func (at *attempts) recordFailure(ctx context.Context, en policy.Endpoint, sentAt time.Time, err error) error {
 	da := at.daemon
 	var fa *endpoint.Failure
@@ -156,7 +159,8 @@
 	endpointResult := result
 	if fa.Cause != endpoint.CauseUnreachable && da.rollouts.isCandidate(at.target) {
 		// The failures of a candidate version do not count against the endpoints
-		// that run it, because those endpoints also serve the stable version.
+		// that run it, because those endpoints also serve the stable version. A
+		// failure to connect still counts: it does not come from the version.
 		endpointResult = placement.Neutral
 	}
 	da.releaseEndpoint(en.ID, endpointResult)
@@ -172,7 +176,8 @@
 	return fa
 }
 
-// recordSuccess records an attempt whose endpoint started to answer.
+// recordSuccess records an attempt whose endpoint started to answer. The endpoint
+// is released later, when the answer has ended.
 func (at *attempts) recordSuccess(ctx context.Context, en policy.Endpoint, st *endpoint.Stream, sentAt time.Time) {
 	da := at.daemon
 	if lo := st.Load(); lo.Known {
@@ -200,7 +205,3 @@
 		da.log.Info(event.EndpointResumed, event.Fields{"endpoint": id})
 	}
 }
-
-// Error implements error, so that a problem can be returned as one within the
-// package.
-func (pr *problem) Error() string { return pr.code + ": " + pr.message }
--- a/entry/caller.go
+++ b/entry/caller.go
@@ -36,7 +36,8 @@
 	HeaderReplayed      = "Idempotent-Replayed"
 )
 
-// Ran states whether a request was run, for the caller of a refused or failed one.
+// Ran tells a caller whether an endpoint has run the request. It is sent in the
+// X-Tanager-Ran header of answers and errors, and in the body of errors.
 type Ran string
 
 // The values of Ran. NotRun is used only when no byte of the request can have
@@ -50,8 +51,12 @@
 const (
 	organisationContextKey = "organisation"
 	maxIDBytes             = 256
-	// maxDiscardedBytes is how much of a body beyond the limit is read and dropped.
-	maxDiscardedBytes     = 1 << 20
+	// maxDiscardedBytes is how much of a body is read and dropped beyond
+	// max_body_bytes.
+	maxDiscardedBytes = 1 << 20
+	// unavailableRetryDelay is the delay after which a caller is told to retry if this
+	// entry refuses every request or cannot claim a call. defaultRetryDelay is the
+	// delay in all other cases that have no time of their own.
 	unavailableRetryDelay = 2 * time.Second
 	defaultRetryDelay     = time.Second
 	maxDeadline           = 24 * time.Hour
@@ -70,6 +75,10 @@
 	retryAt time.Time
 }
 
+// Error implements error, so that a problem can be returned as one within the
+// package.
+func (pr *problem) Error() string { return pr.code + ": " + pr.message }
+
 // errorBody is the error object of the OpenAI API, with the fields ran and
 // retry_at added.
 type errorBody struct {
@@ -145,7 +154,8 @@
 }
 
 // authenticate is middleware that identifies the caller's organisation by its API
-// key and applies the organisation's limit on requests in flight.
+// key and applies the organisation's limit on requests in flight. It first refuses
+// the request if this entry accepts none.
 func (da *Daemon) authenticate(co *gin.Context) {
 	if pr := da.acceptProblem(); pr != nil {
 		abortWithProblem(co, *pr)
@@ -191,6 +201,8 @@
 	return nil
 }
 
+// unavailable returns the problem for a request that this entry refuses because of
+// its own state.
 func unavailable(code, message string) *problem {
 	return &problem{status: http.StatusServiceUnavailable, code: code, message: message, retryAt: time.Now().Add(unavailableRetryDelay)}
 }
@@ -206,8 +218,8 @@
 	body         []byte
 }
 
-// readRequest reads the headers and the body that all requests have.
-// defaultDeadline is used when the caller sets no deadline.
+// readRequest reads the parts that chat requests and service calls have in common.
+// defaultDeadline returns the deadline of a request whose caller sets none.
 func (da *Daemon) readRequest(co *gin.Context, se *policy.Set, defaultDeadline func(ra policy.Rank, arrived time.Time) time.Time) (*request, *problem) {
 	rq := &request{arrived: time.Now(), organisation: policy.OrganisationID(co.GetString(organisationContextKey)), billID: ulid.Make().String()}
 	or, _ := se.Organisations.ByID(rq.organisation)
@@ -276,8 +288,9 @@
 	return body, nil
 }
 
-// admissionProblem returns the problem for a request that was not admitted. An
-// error that is not an *admission.Refusal means that the caller has gone.
+// admissionProblem returns the problem for an error of admission.Controller.Acquire.
+// An error that is not an *admission.Refusal is that of the request's context; the
+// caller is then taken to have gone.
 func admissionProblem(err error) problem {
 	var re *admission.Refusal
 	if !errors.As(err, &re) {
--- a/entry/cascades.go
+++ b/entry/cascades.go
@@ -18,13 +18,14 @@
 
 // cascades holds a chooser for each cascade.
 //
-// mu guards choosers and seenVersions. The board is read before mu is locked,
-// never while it is held.
+// mu guards choosers and seenItems. The peer group's table is read before mu is
+// locked, never while it is held.
 type cascades struct {
 	peers    *peer.Group
 	mu       sync.Mutex
 	choosers map[policy.CascadeID]*cascade.Chooser
-	// seenItems are the versions of the items last processed, by key.
+	// seenItems holds the item version of each item of rating sums that was last
+	// processed, by key.
 	seenItems map[string]peer.Version
 }
 
@@ -32,7 +33,8 @@
 	return &cascades{peers: pe, choosers: map[policy.CascadeID]*cascade.Chooser{}, seenItems: map[string]peer.Version{}}
 }
 
-// choose returns the arm for one request and updates the chooser's state.
+// choose chooses an arm, which is a model with its version, for one request to the
+// cascade rec. It updates the chooser's state.
 func (ca *cascades) choose(rec policy.Cascade, work cascade.WorkKind, arms []cascade.Arm) cascade.Choice {
 	ca.mu.Lock()
 	defer ca.mu.Unlock()
--- a/entry/chat.go
+++ b/entry/chat.go
@@ -22,13 +22,18 @@
 type chatRequest struct {
 	*request
 	// modelName is the caller's name of a cascade, a model or a version.
-	modelName     string
-	work          cascade.WorkKind
-	stream        bool
-	includeUsage  bool
-	maxTokens     int64
-	sessionToken  string
-	sessionID     session.ID
+	modelName    string
+	work         cascade.WorkKind
+	stream       bool
+	includeUsage bool
+	// maxTokens is the caller's limit on output tokens, 0 when there is none.
+	maxTokens int64
+	// sessionToken is the signed token of an earlier answer, sessionID an ID that
+	// the caller chose for its session. The token is used when both are set.
+	sessionToken string
+	sessionID    session.ID
+	// strictSession asks for a refusal rather than another version when the
+	// session's version may not run any more.
 	strictSession bool
 	// sent is set when a byte of the request may have reached an endpoint.
 	sent bool
@@ -109,16 +114,20 @@
 	return body, nil
 }
 
+// promptTokens estimates the tokens of the prompt from the size of the body.
 func (ch *chatRequest) promptTokens() policy.Tokens {
 	return policy.Tokens(len(ch.body) / bytesPerToken)
 }
 
+// prefix returns the hash by which requests that can share a cached prefix are sent
+// to the same endpoints.
 func (ch *chatRequest) prefix(ve policy.Version) placement.Prefix {
 	return placement.HashPrefix(ch.organisation, ve.ID, []byte(gjson.GetBytes(ch.body, "messages").Raw))
 }
 
 // handleModels serves GET /v1/models. It lists the cascades, models and versions
-// that the caller's organisation may use as a model name.
+// that the caller's organisation may use as a model name. A model is listed if the
+// organisation may use its stable version.
 func (da *Daemon) handleModels(co *gin.Context) {
 	se := da.holder.Set()
 	or, _ := se.Organisations.ByID(policy.OrganisationID(co.GetString(organisationContextKey)))
@@ -156,6 +165,8 @@
 	OwnedBy string `json:"owned_by"`
 }
 
+// unknownModel returns the problem for a model name that does not exist or that the
+// organisation may not use. The caller is not told which.
 func unknownModel(name string) *problem {
 	return &problem{status: http.StatusNotFound, code: "model_not_found", param: "model", message: "no model " + strconv.Quote(name) + " that the organisation may use"}
 }
--- a/entry/entries.go
+++ b/entry/entries.go
@@ -12,8 +12,8 @@
 	"tanagerpoint.example/tanager/vm"
 )
 
-// handleEntries serves GET /v1/entries. The list leaves out this entry while it is
-// isolated.
+// handleEntries serves GET /v1/entries. The candidates are this entry, unless it is
+// isolated, and its live peers; directory.Select chooses among them.
 func (da *Daemon) handleEntries(co *gin.Context) {
 	cas := []directory.Candidate{}
 	if !da.isolated.Load() {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -35,19 +35,25 @@
 )
 
 const (
-	readHeaderTimeout      = 5 * time.Second
-	readBodyTimeout        = 15 * time.Second
-	callerWriteTimeout     = 10 * time.Second
-	maxHeaderBytes         = 32 << 10
-	tickInterval           = 100 * time.Millisecond
-	refreshInterval        = 300 * time.Millisecond
-	publishInterval        = 400 * time.Millisecond
+	readHeaderTimeout = 5 * time.Second
+	readBodyTimeout   = 15 * time.Second
+	// callerWriteTimeout is the longest time that a caller may take to read one
+	// event of a stream, or a whole response.
+	callerWriteTimeout = 10 * time.Second
+	maxHeaderBytes     = 32 << 10
+	// tickInterval, refreshInterval and publishInterval are the intervals at which
+	// the methods of these names are called.
+	tickInterval    = 100 * time.Millisecond
+	refreshInterval = 300 * time.Millisecond
+	publishInterval = 400 * time.Millisecond
+	// pinReplicationInterval is the interval at which the session pins are checked,
+	// and copied to their new holders if the entries have changed.
 	pinReplicationInterval = time.Second
 )
 
 // Daemon is one entry process. Its components are safe for concurrent use, and
-// each documents its own lock. No component calls another while it holds its
-// lock, except where it documents that it does.
+// each documents its own lock. A component does not call another one while it
+// holds its own lock, unless the comment on that lock says so.
 type Daemon struct {
 	settings *rpc.EntrySettings
 	net      network.Network
@@ -77,7 +83,9 @@
 	conns        *connections
 
 	draining atomic.Bool
+	// isolated is what isIsolated returned at the last tick.
 	isolated atomic.Bool
+	// inFlight is the number of callers' requests in flight.
 	inFlight atomic.Int64
 	servers  []*http.Server
 }
@@ -114,7 +122,7 @@
 }
 
 // initServing creates the components that route, retry and account for
-// requests. It requires the clients of initClients.
+// requests. initClients must be called first.
 func (da *Daemon) initServing() {
 	da.tracker = placement.NewTracker(uint64(time.Now().UnixNano()))
 	da.pools = newPools(da)
@@ -131,7 +139,8 @@
 }
 
 // peerOptions returns this entry's options in the peer group. The address
-// published to callers is the public one, or the listener's when none is set.
+// published to callers is callers_public, or that of the callers' listener when
+// callers_public is not set.
 func (da *Daemon) peerOptions() peer.Options {
 	es := da.settings
 	public := es.GetListen().GetCallersPublic()
@@ -200,7 +209,8 @@
 	})
 }
 
-// tick updates the isolation state and advances the queues to the current time.
+// tick updates the isolation state, and starts or refuses the queued requests that
+// are due.
 func (da *Daemon) tick(context.Context) {
 	da.updateIsolation()
 	da.pools.tick()
@@ -214,8 +224,8 @@
 	da.cascades.refresh(da.holder.Set())
 }
 
-// publish sends this entry's usage and its health counts of candidate versions to
-// the other daemons.
+// publish sends this entry's usage, and its counts of the answers and failures of
+// candidate versions, to the other daemons.
 func (da *Daemon) publish(context.Context) {
 	da.pools.publish()
 	da.rollouts.publish()
@@ -261,7 +271,7 @@
 }
 
 // ApplyPolicy adds records to the policy in force without a store, as if a peer
-// had sent them. The policy's revision becomes the newest of the records'.
+// had sent them. It sets the policy's revision to the newest one of the records.
 func (da *Daemon) ApplyPolicy(records []policy.StoredRecord) {
 	newest := store.Revision(0)
 	for _, st := range records {
--- a/entry/explain.go
+++ b/entry/explain.go
@@ -17,7 +17,8 @@
 	maxSteps = 32
 )
 
-// explanations keeps the steps of the most recent requests, by request ID.
+// explanations keeps the step logs of the requests that were added or read most
+// recently, by request ID.
 type explanations struct {
 	byID *lru.Cache[string, *stepLog]
 }
@@ -65,7 +66,7 @@
 	return sl
 }
 
-// get returns the explanation of a request, false when it is not kept.
+// get returns the explanation of a request, and false when there is none for its ID.
 func (exs *explanations) get(id string) (Explanation, bool) {
 	sl, ok := exs.byID.Get(id)
 	if !ok {
--- a/entry/inflight.go
+++ b/entry/inflight.go
@@ -23,8 +23,8 @@
 
 // acquire counts a request, or returns a problem when the organisation already has
 // as many in flight as this entry allows: MaxInFlight divided evenly among the
-// entries and rounded up. A MaxInFlight of 0 means no limit. release must follow
-// when it returns nil.
+// entries and rounded up. A MaxInFlight of 0 means no limit. When it returns nil,
+// the caller must call release when the request has ended.
 func (in *inFlightLimiter) acquire(or policy.Organisation, entries int) *problem {
 	in.mu.Lock()
 	defer in.mu.Unlock()
--- a/entry/pool.go
+++ b/entry/pool.go
@@ -15,8 +15,8 @@
 	"tanagerpoint.example/tanager/store"
 )
 
-// poolID identifies a pool: the endpoints of one model or service, which share a
-// queue.
+// poolID identifies a pool: the endpoints of one model or service, whose requests
+// wait in one queue. It has the form model/MODEL or service/SERVICE.
 type poolID string
 
 func modelPool(id policy.ModelID) poolID     { return poolID("model/" + string(id)) }
@@ -28,15 +28,17 @@
 	// rank until its first answer ends.
 	initialSecondsPerToken = 0.01
 	initialTokensPerAnswer = 128
-	// estimateSmoothing is the weight of a new answer in the moving averages.
+	// estimateSmoothing is the weight of a new answer in the exponential moving
+	// averages of answerEstimate.
 	estimateSmoothing = 0.05
-	// minReportedUsage is the smoothed usage, in slots, below which an idle level
-	// is left out of the report.
+	// minReportedUsage is the smoothed usage, in slots, below which a level without
+	// running requests is left out of the report. Each rank has two levels: one for
+	// organisations within their share and one for those over it.
 	minReportedUsage = 0.01
 )
 
-// poolQueue is the queue of one pool and the estimates of its answers' length and
-// speed.
+// poolQueue is the queue of one pool, with the estimates of the length and speed of
+// the pool's answers.
 type poolQueue struct {
 	controller *admission.Controller
 	// mu guards estimates.
@@ -58,12 +60,12 @@
 	daemon *Daemon
 
 	mu sync.Mutex
-	// endpointsRevision is the policy revision from which the endpoints were built,
-	// queuesRevision the one from which the queues were last refreshed.
+	// endpointsRevision is the policy revision from which the endpoint maps were
+	// built, queuesRevision the newest one from which the queues were refreshed.
 	endpointsRevision store.Revision
 	queuesRevision    store.Revision
-	// seenItems are the versions of the other entries' usage items last
-	// processed, by key.
+	// seenItems holds the item version of each usage item of the other entries that
+	// was last processed, by key.
 	seenItems          map[string]peer.Version
 	queues             map[poolID]*poolQueue
 	endpointsByPool    map[poolID]*placement.Pool
@@ -74,8 +76,8 @@
 	return &pools{daemon: da, queues: map[poolID]*poolQueue{}}
 }
 
-// get returns a pool, creating it if needed, and refreshes the queues first when
-// the pool is new or they are older than the policy in force.
+// get returns the queue of a pool, which it creates when there is none. It refreshes
+// all queues first when that one is new or they are older than the policy in force.
 func (po *pools) get(id poolID) *poolQueue {
 	po.mu.Lock()
 	_, known := po.queues[id]
@@ -88,7 +90,7 @@
 	return pq
 }
 
-// getLocked returns a pool, and creates it if needed. mu must be held.
+// getLocked returns the queue of a pool, and creates it if needed. mu must be held.
 func (po *pools) getLocked(id poolID) *poolQueue {
 	pq, ok := po.queues[id]
 	if !ok {
@@ -164,8 +166,8 @@
 	})
 }
 
-// refresh sets the ranks and the capacity of each queue, and the usage that the
-// other entries reported.
+// refresh sets for each queue the ranks, the capacity, which is this entry's share
+// of the pool's usable slots, and the usage that the other entries reported.
 func (po *pools) refresh() {
 	po.mu.Lock()
 	po.rebuildLocked()
@@ -175,6 +177,7 @@
 	for id := range endpoints {
 		queues[id] = po.getLocked(id)
 	}
+	// The queues of pools that have lost all endpoints are refreshed too.
 	maps.Copy(queues, po.queues)
 	po.mu.Unlock()
 	re := po.readRemoteUsage()
@@ -233,21 +236,24 @@
 	return ok && !now.Draining && !da.vms.EndpointLeaving(string(en.ID))
 }
 
-// remoteUsage is the sum of what the other entries reported. entries counts the
-// entries that serve requests, this one included.
+// remoteUsage combines the usage items of the other entries.
 type remoteUsage struct {
+	// entries is the number of entries that serve requests, this one included.
 	entries int
+	// demand is the number of requests that run or wait in the other entries'
+	// queues of each pool.
 	demand  map[poolID]float64
 	reports map[poolID]admission.Report
 	// inFlight is the number of requests that the other entries have in flight at
 	// each endpoint.
 	inFlight map[policy.EndpointID]int
-	// changed is set when the reports differ from those read last.
+	// changed is set when an item was written, added or removed since the last read.
+	// Unchanged reports are not set again, because that would renew their lifetime.
 	changed bool
 }
 
-// readRemoteUsage adds up the usage items of the other entries. A draining entry
-// counts until its last request has ended.
+// readRemoteUsage combines the usage items of the other entries. A draining entry is
+// counted in entries until its last request has ended.
 func (po *pools) readRemoteUsage() remoteUsage {
 	re := remoteUsage{entries: 1, demand: map[poolID]float64{}, reports: map[poolID]admission.Report{}, inFlight: map[policy.EndpointID]int{}}
 	seen := map[string]peer.Version{}
@@ -305,8 +311,8 @@
 	return demand
 }
 
-// publish sends this entry's served usage, demand and requests in flight to the
-// other entries.
+// publish sends the usage and demand of this entry's queues, and its requests in
+// flight at each endpoint, to the other entries.
 func (po *pools) publish() {
 	po.mu.Lock()
 	queues := maps.Clone(po.queues)
@@ -344,7 +350,7 @@
 }
 
 // estimate returns the expected number of tokens of a rank's answer, at most
-// maxTokens when that is set, and the expected time to generate them.
+// maxTokens unless that is 0, and the expected time to generate them.
 func (pq *poolQueue) estimate(id policy.RankID, maxTokens int64) (tokens float64, duration time.Duration) {
 	pq.mu.Lock()
 	defer pq.mu.Unlock()
@@ -364,7 +370,7 @@
 	return answerEstimate{secondsPerToken: initialSecondsPerToken, tokensPerAnswer: initialTokensPerAnswer}
 }
 
-// observe updates the rank's estimate with an answer that ended. An answer without
+// observe updates the rank's estimate with a complete answer. An answer without
 // tokens is ignored.
 func (pq *poolQueue) observe(id policy.RankID, tokens int64, took time.Duration) {
 	if tokens <= 0 {
@@ -378,7 +384,7 @@
 	pq.estimates[id] = ae
 }
 
-// each calls fn for every pool, without holding mu.
+// each calls fn for the queue of every pool, without holding mu.
 func (po *pools) each(fn func(id poolID, pq *poolQueue)) {
 	po.mu.Lock()
 	queues := maps.Clone(po.queues)
--- a/entry/rating.go
+++ b/entry/rating.go
@@ -59,6 +59,21 @@
 	}
 }
 
+// shouldRate reports whether the answer is to be sent to the rating service, if it
+// becomes complete.
+func (an *answerRelay) shouldRate() bool {
+	return an.daemon.ratings != nil && an.chat.inRatingSample(an)
+}
+
+// submitForRating queues the answer for the rating service if it is in the
+// sample.
+func (an *answerRelay) submitForRating() {
+	if !an.shouldRate() {
+		return
+	}
+	an.daemon.ratings.submit(ratingAnswer(an))
+}
+
 // inRatingSample reports whether the answer is in the sample to be rated. It
 // decides by a hash of the bill ID, which is unique to the request, so that
 // repeated calls for one request agree.
@@ -78,6 +93,9 @@
 	return float64(xxhash.Sum64String(ch.billID)%scale) < share*scale
 }
 
+// ratingAnswer returns the answer in the form in which it is submitted. Its request
+// ID is the bill's, which is unique; the ID of the request itself may be chosen by
+// the caller.
 func ratingAnswer(an *answerRelay) rating.Answer {
 	return rating.Answer{
 		RequestID: an.chat.billID, Cascade: string(an.target.cascade), Work: string(an.chat.work),
--- a/entry/resolve.go
+++ b/entry/resolve.go
@@ -14,12 +14,14 @@
 type target struct {
 	model   policy.ModelID
 	version policy.Version
-	// cascade is set when a cascade chose the model.
+	// cascade is set when the request names a cascade.
 	cascade policy.CascadeID
 	choice  cascade.Choice
-	// movedFrom is the session's earlier version, set when it was withdrawn.
+	// movedFrom is the session's earlier version, set when that may not run any more
+	// and the session has moved to another version.
 	movedFrom policy.VersionID
-	// pinned is set when the session already had the version.
+	// pinned is set when the version comes from the session. It is not set when a
+	// session ID has the version that was assigned anyway, since the ID may be new.
 	pinned bool
 }
 
@@ -47,7 +49,8 @@
 	return target{model: policy.ModelID(ve.Model), version: ve}, nil
 }
 
-// assignVersion chooses the model and version as for a new session.
+// assignVersion chooses the model and version that the request would get without a
+// session.
 func (da *Daemon) assignVersion(se *policy.Set, or policy.Organisation, ch *chatRequest) (target, *problem) {
 	if ca, ok := se.Cascades.ByID(policy.CascadeID(ch.modelName)); ok {
 		if !or.AllowsCascade(ca.ID) {
@@ -97,9 +100,9 @@
 }
 
 // applySession replaces the assigned target tg by the version that the request's
-// session already has. If that version was withdrawn, the session moves to the
-// assigned one and movedFrom is set, or the request is refused when the caller set
-// X-Tanager-Session-Strict.
+// session already has. If that version may not run any more, the session moves to
+// the assigned one and movedFrom is set, or the request is refused when the caller
+// set X-Tanager-Session-Strict.
 func (da *Daemon) applySession(ctx context.Context, se *policy.Set, or policy.Organisation, ch *chatRequest, tg target) (target, *problem) {
 	had, pr := da.sessionVersion(ctx, ch, tg, "")
 	if pr != nil || had == "" {
@@ -115,6 +118,8 @@
 		return target{}, &problem{status: http.StatusConflict, code: "session_version_withdrawn", message: "the session's version " + string(had) + " takes no new work"}
 	}
 	if ch.sessionToken == "" {
+		// If another entry has moved the session before, its version wins over the
+		// one assigned here.
 		moved, _ := da.sessionVersion(ctx, ch, tg, had)
 		if ve, ok := se.Versions.ByID(moved); ok && versionProblem(se, or.ID, moved) == nil {
 			tg.version, tg.model = ve, policy.ModelID(ve.Model)
@@ -125,8 +130,8 @@
 }
 
 // sessionVersion returns the version of the request's session, "" when the request
-// has none. It pins the assigned version for a new session ID, and for one that is
-// pinned to replaced.
+// has no session. A session ID that is new, or pinned to the version replaced, is
+// first pinned to the version of tg. The version in a session token is fixed.
 func (da *Daemon) sessionVersion(ctx context.Context, ch *chatRequest, tg target, replaced policy.VersionID) (policy.VersionID, *problem) {
 	if ch.sessionToken != "" {
 		cl, err := da.signer.Check(ch.sessionToken)
--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -17,13 +17,13 @@
 // of candidate versions. The keys have the form health/ROLLOUT/VM.
 const HealthPrefix = "health/"
 
-// rollouts evaluates candidate versions by the outcomes that this entry observes.
-// It immediately stops assigning new sessions to a bad candidate and publishes
-// the finding, by which the other entries stop too and a steward aborts the
-// roll-out.
+// rollouts tests candidate versions by the outcomes that this entry observes. When
+// it rejects a candidate, this entry assigns no new sessions to it from then on and
+// publishes the rejection, after which the other entries assign none either and a
+// steward aborts the roll-out.
 //
-// mu guards guards and suspects. publish holds it while it takes the locks of the
-// peer group and of the board; mu is never taken while one of these is held.
+// mu guards observed and suspects. publish holds it while it takes the locks of the
+// peer group and of its table; mu is never taken while one of these is held.
 type rollouts struct {
 	peers  *peer.Group
 	holder *configuration.Holder
@@ -31,21 +31,22 @@
 
 	mu       sync.Mutex
 	observed map[policy.RolloutID]*observedRollout
-	// suspects are the candidate versions that this entry or another one found bad.
+	// suspects are the candidate versions that this entry or another one rejected.
 	suspects map[policy.VersionID]bool
 }
 
 // observedRollout is an active roll-out and the outcomes observed in it.
 type observedRollout struct {
 	rollout policy.Rollout
-	// versions identifies the run of the record that the counts belong to.
+	// versions are the versions whose outcomes are in health.
 	versions versionPair
 	health   rollout.HealthTest
-	// reason is why the candidate was found bad, "" when it was not.
+	// reason is why the candidate was rejected, "" when it was not.
 	reason string
 }
 
-// versionPair distinguishes two runs of one roll-out record by their versions.
+// versionPair holds the versions of a roll-out. When they change, the same record
+// stands for another roll-out.
 type versionPair struct {
 	to   policy.VersionID
 	from policy.VersionID
@@ -76,8 +77,8 @@
 	return ok && policy.VersionID(rec.ToVersion) == tg.version.ID
 }
 
-// observe records an attempt's outcome if its model is being rolled out, and marks
-// the candidate as suspect once the guard finds it bad.
+// observe records an attempt's outcome if a roll-out of its model is active, and
+// marks the candidate as suspect once the health test rejects it.
 func (ro *rollouts) observe(tg target, ou rollout.Outcome) {
 	rec, ok := ro.holder.Set().ActiveRollout(tg.model)
 	if !ok {
@@ -110,8 +111,8 @@
 	return ob
 }
 
-// refresh removes the state of ended roll-outs, and sets the suspects from this
-// entry's findings and those that the other entries published.
+// refresh removes the state of ended roll-outs, and sets the suspects from the
+// rejections by this entry and those that the other entries published.
 func (ro *rollouts) refresh() {
 	se := ro.holder.Set()
 	reported := map[policy.VersionID]bool{}
@@ -138,8 +139,8 @@
 	}
 }
 
-// publish sends this entry's counts and findings on candidate versions to the
-// other daemons.
+// publish sends this entry's counts of answers and failures of candidate versions,
+// and whether and why it rejected them, to the other daemons.
 func (ro *rollouts) publish() {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -21,18 +21,19 @@
 )
 
 const (
-	// maxVersionChoices is how often the version of a request is chosen: once, and
-	// again each time the chosen version is withdrawn before the send.
+	// maxVersionChoices is the maximum number of times that the version of a request
+	// is chosen: once, and again after each errWithdrawn.
 	maxVersionChoices = 3
 	// billCopyTimeout is the longest time that the end of an answer is held back
-	// until the copies of its bill are stored.
+	// until a peer or the store has its bill.
 	billCopyTimeout = 1500 * time.Millisecond
-	// secondsPerThousandPromptTokens is the expected time to process 1000 prompt tokens.
+	// secondsPerThousandPromptTokens is the expected time to process 1000 prompt
+	// tokens.
 	secondsPerThousandPromptTokens = 0.1
 )
 
-// serveChat runs a chat request and writes the response. It chooses the version
-// again when that is withdrawn before the send.
+// serveChat runs a chat request and writes the response. If the chosen version is
+// withdrawn before the send, it chooses again, up to maxVersionChoices times in all.
 func (da *Daemon) serveChat(co *gin.Context, ch *chatRequest) {
 	ctx, cancel := context.WithDeadline(co.Request.Context(), ch.deadline)
 	defer cancel()
@@ -56,8 +57,8 @@
 	})
 }
 
-// abortChat records a refused request and writes the problem, which says that the
-// outcome is unknown when a byte of the request may have reached an endpoint.
+// abortChat records a refused request and writes the problem. It sets the problem's
+// ran to RanUnknown when a byte of the request may have reached an endpoint.
 func (da *Daemon) abortChat(co *gin.Context, ch *chatRequest, sl *stepLog, pr problem) {
 	if ch.sent {
 		pr.ran = RanUnknown
@@ -68,8 +69,9 @@
 }
 
 // runChat waits in the queue for a slot, sends the request to an endpoint and
-// relays the answer. A nil error means that a response was started; otherwise the
-// error is errWithdrawn or a *problem.
+// relays the answer. It returns nil once an endpoint has started to answer, even if
+// the answer then fails, since the response has been written. Otherwise it returns
+// errWithdrawn or a *problem, and nothing has been written.
 func (da *Daemon) runChat(ctx context.Context, co *gin.Context, ch *chatRequest, tg target, sl *stepLog) error {
 	pq := da.pools.get(modelPool(tg.model))
 	ti, pr := da.chatTicket(ch, pq)
@@ -107,8 +109,9 @@
 	return nil
 }
 
-// chatTicket returns the request's ticket for a queue, with its cost in expected
-// tokens and the latest start by which it can meet its deadline.
+// chatTicket returns the request's ticket for a queue. Its cost is the expected
+// number of output tokens. Its latest start leaves the expected time to process the
+// prompt and to generate the answer before the deadline.
 func (da *Daemon) chatTicket(ch *chatRequest, pq *poolQueue) (*admission.Ticket, *problem) {
 	or, ok := da.holder.Set().Organisations.ByID(ch.organisation)
 	if !ok {
@@ -152,12 +155,13 @@
 
 // answerRelay relays one answer from an endpoint to the caller.
 type answerRelay struct {
-	daemon  *Daemon
-	chat    *chatRequest
-	target  target
-	opened  *openedAnswer
-	steps   *stepLog
-	answer  answerBuilder
+	daemon *Daemon
+	chat   *chatRequest
+	target target
+	opened *openedAnswer
+	steps  *stepLog
+	answer answerBuilder
+	// failure is why the answer is incomplete, nil when it is complete.
 	failure error
 	// callerGone is set when failure came from writing to the caller, not from
 	// reading from the endpoint.
@@ -192,8 +196,9 @@
 	an.finish(ctx, co, aw)
 }
 
-// setHeaders sets the response headers that name the version, the endpoint, the
-// bill and the session token.
+// setHeaders sets the response headers of an answer. They name its version,
+// endpoint and bill, state that the request was run, and hold the session's token
+// and, if the session moved, its earlier version.
 func (an *answerRelay) setHeaders(co *gin.Context) {
 	co.Header(HeaderVersion, string(an.target.version.ID))
 	co.Header(HeaderEndpoint, string(an.opened.endpoint.ID))
@@ -279,9 +284,9 @@
 	an.daemon.addBill(bi)
 }
 
-// addBill adds a bill to the book and waits up to billCopyTimeout until its copies
-// are stored. A failure is only logged and does not hold back the answer, since
-// this entry keeps the bill until it is sealed.
+// addBill adds a bill to the book and waits up to billCopyTimeout until a peer or
+// the store has it. If neither has it by then, this is only logged and the answer
+// goes on, since this entry keeps the bill until it is sealed.
 func (da *Daemon) addBill(bi *rpc.Bill) {
 	ctx, cancel := context.WithTimeout(da.group.Context(), billCopyTimeout)
 	defer cancel()
@@ -291,3 +296,11 @@
 	da.metrics.Answers.Add(ctx, 1, metric.With(metric.KeyVersion, bi.GetVersion()))
 	da.metrics.CostMicro.Add(ctx, bi.GetCost(), metric.With(metric.KeyVersion, bi.GetVersion()))
 }
+
+// billNotCopied is logged for a bill that neither a peer nor the store is known to
+// have.
+const billNotCopied = event.BillsNotCopied
+
+func billFields(bi *rpc.Bill) event.Fields {
+	return event.Fields{"bill": bi.GetId(), "organisation": bi.GetOrganisation(), "cost": bi.GetCost()}
+}
--- a/entry/service.go
+++ b/entry/service.go
@@ -20,6 +20,8 @@
 )
 
 const (
+	// maxPlainAnswerBytes is the size of a service's answer above which the attempt
+	// fails.
 	maxPlainAnswerBytes = 8 << 20
 	// claimFinishTimeout is the longest time that an answer is held back until it is
 	// stored with its claim.
@@ -101,7 +103,8 @@
 func (ca *serviceCall) repeatable() bool { return ca.service.Repeatable(ca.method) }
 
 // serveCall waits in the queue for a slot and runs the call. A call that may not be
-// repeated and has an idempotency key is claimed in the store before it is run.
+// repeated and has an idempotency key is claimed in the store before it is run. It
+// returns nil when it has written the response.
 func (da *Daemon) serveCall(ctx context.Context, co *gin.Context, ca *serviceCall) *problem {
 	pq := da.pools.get(servicePool(ca.service.ID))
 	ti, pr := da.callTicket(ca)
@@ -169,7 +172,8 @@
 
 // runCall sends a call and writes the response. It retries a failed call only when
 // the call may be repeated, or when no byte of it can have reached an endpoint. ho
-// is the call's claim, nil when it has none.
+// is the call's claim, nil when it has none. An error that is not an
+// *endpoint.Failure counts as one after which a byte may have reached the endpoint.
 func (da *Daemon) runCall(ctx context.Context, co *gin.Context, ca *serviceCall, ho *claim.Hold) *problem {
 	var tried []policy.EndpointID
 	sent := false
@@ -235,8 +239,8 @@
 	return da.sendProblem()
 }
 
-// failCall returns the problem with ran set, and releases the call's claim when
-// nothing of the call was sent.
+// failCall returns the problem with ran set, and releases the call's claim when no
+// byte of the call can have been sent.
 func (da *Daemon) failCall(ho *claim.Hold, sent bool, pr problem) *problem {
 	pr.ran = NotRun
 	if sent {
@@ -248,7 +252,8 @@
 }
 
 // answerCall records the bill, stores the answer with the claim if there is one,
-// and writes the answer to the caller.
+// and writes the answer to the caller. It always returns nil, which runCall returns
+// in turn.
 func (da *Daemon) answerCall(co *gin.Context, ca *serviceCall, ho *claim.Hold, en policy.Endpoint, an endpoint.PlainAnswer) *problem {
 	contentType := an.Header.Get("Content-Type")
 	da.addBill(&rpc.Bill{
