--- a/entry/entry.go
+++ b/entry/entry.go
@@ -260,7 +260,7 @@
 	da.book.Close(ctx)
 	da.group.Close()
 	if da.ratings != nil {
-		da.ratings.service.Close()
+		da.ratings.client.Close()
 	}
 	da.client.Close()
 	da.peers.Close()
--- a/entry/rating.go
+++ b/entry/rating.go
@@ -29,12 +29,12 @@
 // answers while its queue is full, and those whose submission fails, because
 // ratings are only a sample.
 type ratingSubmitter struct {
-	service *rating.Client
-	queue   chan rating.Answer
+	client *rating.Client
+	queue  chan rating.Answer
 }
 
-func newRatingSubmitter(se *rating.Client) *ratingSubmitter {
-	return &ratingSubmitter{service: se, queue: make(chan rating.Answer, maxQueuedAnswers)}
+func newRatingSubmitter(cl *rating.Client) *ratingSubmitter {
+	return &ratingSubmitter{client: cl, queue: make(chan rating.Answer, maxQueuedAnswers)}
 }
 
 // submit queues an answer, or drops it when the queue is full. It does not block.
@@ -51,7 +51,7 @@
 		select {
 		case an := <-rs.queue:
 			call, cancel := context.WithTimeout(ctx, submitTimeout)
-			_ = rs.service.Submit(call, an)
+			_ = rs.client.Submit(call, an)
 			cancel()
 		case <-ctx.Done():
 			return
