--- a/entry/cascades.go
+++ b/entry/cascades.go
@@ -18,21 +18,23 @@
 
 // cascades holds a chooser for each cascade.
 //
-// mu guards choosers and seenVersions. The board is read before mu is locked,
-// never while it is held.
+// mu guards choosers and seenItems. The peer group's table is read before mu is
+// locked, never while it is held.
 type cascades struct {
 	peers    *peer.Group
 	mu       sync.Mutex
 	choosers map[policy.CascadeID]*cascade.Chooser
-	// seenVersions are the versions of the items last processed, by key.
-	seenVersions map[string]peer.Version
+	// seenItems holds the item version of each item of rating sums that was last
+	// processed, by key.
+	seenItems map[string]peer.Version
 }
 
 func newCascades(pe *peer.Group) *cascades {
-	return &cascades{peers: pe, choosers: map[policy.CascadeID]*cascade.Chooser{}, seenVersions: map[string]peer.Version{}}
+	return &cascades{peers: pe, choosers: map[policy.CascadeID]*cascade.Chooser{}, seenItems: map[string]peer.Version{}}
 }
 
-// choose returns the arm for one request and updates the chooser's state.
+// choose chooses an arm, which is a model with its version, for one request to the
+// cascade rec. It updates the chooser's state.
 func (ca *cascades) choose(rec policy.Cascade, work cascade.WorkKind, arms []cascade.Arm) cascade.Choice {
 	ca.mu.Lock()
 	defer ca.mu.Unlock()
@@ -58,10 +60,10 @@
 	ca.mu.Lock()
 	defer ca.mu.Unlock()
 	for _, it := range its {
-		if ca.seenVersions[it.Key] == it.Version {
+		if ca.seenItems[it.Key] == it.Version {
 			continue
 		}
-		ca.seenVersions[it.Key] = it.Version
+		ca.seenItems[it.Key] = it.Version
 		var ras rpc.Ratings
 		if proto.Unmarshal(it.Value, &ras) != nil {
 			continue
--- a/entry/pool.go
+++ b/entry/pool.go
@@ -15,8 +15,8 @@
 	"tanagerpoint.example/tanager/store"
 )
 
-// poolID identifies a pool: the endpoints of one model or service, which share a
-// queue.
+// poolID identifies a pool: the endpoints of one model or service, whose requests
+// wait in one queue. It has the form model/MODEL or service/SERVICE.
 type poolID string
 
 func modelPool(id policy.ModelID) poolID     { return poolID("model/" + string(id)) }
@@ -28,17 +28,19 @@
 	// rank until its first answer ends.
 	initialSecondsPerToken = 0.01
 	initialTokensPerAnswer = 128
-	// estimateSmoothing is the weight of a new answer in the moving averages.
+	// estimateSmoothing is the weight of a new answer in the exponential moving
+	// averages of answerEstimate.
 	estimateSmoothing = 0.05
-	// minReportedUsage is the smoothed usage, in slots, below which an idle level
-	// is left out of the report.
+	// minReportedUsage is the smoothed usage, in slots, below which a level without
+	// running requests is left out of the report. Each rank has two levels: one for
+	// organisations within their share and one for those over it.
 	minReportedUsage = 0.01
 )
 
-// pool is the queue of one pool and the estimates of its answers' length and
-// speed.
-type pool struct {
-	gate *admission.Controller
+// poolQueue is the queue of one pool, with the estimates of the length and speed of
+// the pool's answers.
+type poolQueue struct {
+	controller *admission.Controller
 	// mu guards estimates.
 	mu        sync.Mutex
 	estimates map[policy.RankID]answerEstimate
@@ -58,47 +60,47 @@
 	daemon *Daemon
 
 	mu sync.Mutex
-	// endpointsRevision is the policy revision from which the endpoints were built,
-	// queuesRevision the one from which the queues were last refreshed.
+	// endpointsRevision is the policy revision from which the endpoint maps were
+	// built, queuesRevision the newest one from which the queues were refreshed.
 	endpointsRevision store.Revision
 	queuesRevision    store.Revision
-	// remoteVersions are the versions of the other entries' usage items last
-	// processed, by key.
-	remoteVersions     map[string]peer.Version
-	queues             map[poolID]*pool
+	// seenItems holds the item version of each usage item of the other entries that
+	// was last processed, by key.
+	seenItems          map[string]peer.Version
+	queues             map[poolID]*poolQueue
 	endpointsByPool    map[poolID]*placement.Pool
 	endpointsByVersion map[policy.VersionID]*placement.Pool
 }
 
 func newPools(da *Daemon) *pools {
-	return &pools{daemon: da, queues: map[poolID]*pool{}}
+	return &pools{daemon: da, queues: map[poolID]*poolQueue{}}
 }
 
-// get returns a pool, creating it if needed, and refreshes the queues first when
-// the pool is new or they are older than the policy in force.
-func (po *pools) get(id poolID) *pool {
+// get returns the queue of a pool, which it creates when there is none. It refreshes
+// all queues first when that one is new or they are older than the policy in force.
+func (po *pools) get(id poolID) *poolQueue {
 	po.mu.Lock()
 	_, known := po.queues[id]
-	pl := po.getLocked(id)
+	pq := po.getLocked(id)
 	current := po.queuesRevision == po.daemon.holder.Set().Revision
 	po.mu.Unlock()
 	if !known || !current {
 		po.refresh()
 	}
-	return pl
+	return pq
 }
 
-// getLocked returns a pool, and creates it if needed. mu must be held.
-func (po *pools) getLocked(id poolID) *pool {
-	pl, ok := po.queues[id]
+// getLocked returns the queue of a pool, and creates it if needed. mu must be held.
+func (po *pools) getLocked(id poolID) *poolQueue {
+	pq, ok := po.queues[id]
 	if !ok {
-		pl = &pool{
-			gate:      admission.NewController(int(po.daemon.settings.GetServing().GetMaxQueue())),
-			estimates: map[policy.RankID]answerEstimate{},
+		pq = &poolQueue{
+			controller: admission.NewController(int(po.daemon.settings.GetServing().GetMaxQueue())),
+			estimates:  map[policy.RankID]answerEstimate{},
 		}
-		po.queues[id] = pl
+		po.queues[id] = pq
 	}
-	return pl
+	return pq
 }
 
 // versionEndpoints returns the endpoints that serve a version according to the
@@ -131,30 +133,30 @@
 	if se.Revision == po.endpointsRevision && po.endpointsByVersion != nil {
 		return
 	}
-	versions, members := map[policy.VersionID][]policy.Endpoint{}, map[poolID][]policy.Endpoint{}
+	byVersion, byPool := map[policy.VersionID][]policy.Endpoint{}, map[poolID][]policy.Endpoint{}
 	for _, en := range se.Endpoints.List() {
 		if en.Kind == rpc.EndpointKind_PLAIN {
 			id := servicePool(policy.ServiceID(en.Service))
-			members[id] = append(members[id], en)
+			byPool[id] = append(byPool[id], en)
 			continue
 		}
-		models := map[poolID]bool{}
+		modelPools := map[poolID]bool{}
 		for _, name := range en.Versions {
 			id := policy.VersionID(name)
-			versions[id] = append(versions[id], en)
+			byVersion[id] = append(byVersion[id], en)
 			if ve, ok := se.Versions.ByID(id); ok {
-				models[modelPool(policy.ModelID(ve.Model))] = true
+				modelPools[modelPool(policy.ModelID(ve.Model))] = true
 			}
 		}
-		for id := range models {
-			members[id] = append(members[id], en)
+		for id := range modelPools {
+			byPool[id] = append(byPool[id], en)
 		}
 	}
 	po.endpointsByVersion, po.endpointsByPool = map[policy.VersionID]*placement.Pool{}, map[poolID]*placement.Pool{}
-	for id, ens := range versions {
+	for id, ens := range byVersion {
 		po.endpointsByVersion[id] = placement.NewPool(ens)
 	}
-	for id, ens := range members {
+	for id, ens := range byPool {
 		po.endpointsByPool[id] = placement.NewPool(ens)
 	}
 	po.endpointsRevision = se.Revision
@@ -164,34 +166,35 @@
 	})
 }
 
-// refresh sets the ranks and the capacity of each queue, and the usage that the
-// other entries reported.
+// refresh sets for each queue the ranks, the capacity, which is this entry's share
+// of the pool's usable slots, and the usage that the other entries reported.
 func (po *pools) refresh() {
 	po.mu.Lock()
 	po.rebuildLocked()
 	revision := po.endpointsRevision
-	members, ranks := po.endpointsByPool, ranksOf(po.daemon.holder.Set())
-	queues := make(map[poolID]*pool, len(members))
-	for id := range members {
+	endpoints, ranks := po.endpointsByPool, ranksOf(po.daemon.holder.Set())
+	queues := make(map[poolID]*poolQueue, len(endpoints))
+	for id := range endpoints {
 		queues[id] = po.getLocked(id)
 	}
+	// The queues of pools that have lost all endpoints are refreshed too.
 	maps.Copy(queues, po.queues)
 	po.mu.Unlock()
 	re := po.readRemoteUsage()
 	if re.changed {
 		po.daemon.tracker.SetPeerInFlight(time.Now(), re.inFlight)
 	}
-	for id, pl := range queues {
-		slots := po.usableSlots(members[id])
-		capacity := slots * admission.CapacityShare(re.entries, pl.demand(), re.demand[id])
-		pl.gate.Update(func(qu *admission.Queue, now time.Time) {
+	for id, pq := range queues {
+		slots := po.usableSlots(endpoints[id])
+		capacity := slots * admission.CapacityShare(re.entries, pq.demand(), re.demand[id])
+		pq.controller.Update(func(qu *admission.Queue, now time.Time) {
 			qu.SetRanks(ranks)
 			qu.SetCapacity(now, admission.Slots(capacity))
 			if re.changed {
 				qu.SetFleet(now, admission.Fleet{Capacity: admission.Slots(slots), Report: re.reports[id]})
 			}
 		})
-		pl.gate.Tick()
+		pq.controller.Tick()
 	}
 	po.mu.Lock()
 	po.queuesRevision = max(po.queuesRevision, revision)
@@ -201,7 +204,7 @@
 // tick starts the requests that may now run in each queue, and refuses those that
 // can no longer meet their deadline.
 func (po *pools) tick() {
-	po.each(func(_ poolID, pl *pool) { pl.gate.Tick() })
+	po.each(func(_ poolID, pq *poolQueue) { pq.controller.Tick() })
 }
 
 func ranksOf(se *policy.Set) []admission.Rank {
@@ -233,21 +236,24 @@
 	return ok && !now.Draining && !da.vms.EndpointLeaving(string(en.ID))
 }
 
-// remoteUsage is the sum of what the other entries reported. entries counts the
-// entries that serve requests, this one included.
+// remoteUsage combines the usage items of the other entries.
 type remoteUsage struct {
+	// entries is the number of entries that serve requests, this one included.
 	entries int
+	// demand is the number of requests that run or wait in the other entries'
+	// queues of each pool.
 	demand  map[poolID]float64
 	reports map[poolID]admission.Report
 	// inFlight is the number of requests that the other entries have in flight at
 	// each endpoint.
 	inFlight map[policy.EndpointID]int
-	// changed is set when the reports differ from those read last.
+	// changed is set when an item was written, added or removed since the last read.
+	// Unchanged reports are not set again, because that would renew their lifetime.
 	changed bool
 }
 
-// readRemoteUsage adds up the usage items of the other entries. A draining entry
-// counts until its last request has ended.
+// readRemoteUsage combines the usage items of the other entries. A draining entry is
+// counted in entries until its last request has ended.
 func (po *pools) readRemoteUsage() remoteUsage {
 	re := remoteUsage{entries: 1, demand: map[poolID]float64{}, reports: map[poolID]admission.Report{}, inFlight: map[policy.EndpointID]int{}}
 	seen := map[string]peer.Version{}
@@ -262,8 +268,8 @@
 	}
 	po.mu.Lock()
 	defer po.mu.Unlock()
-	re.changed = !maps.Equal(seen, po.remoteVersions)
-	po.remoteVersions = seen
+	re.changed = !maps.Equal(seen, po.seenItems)
+	po.seenItems = seen
 	return re
 }
 
@@ -296,24 +302,24 @@
 }
 
 // demand returns the number of requests that run or wait in the queue.
-func (pl *pool) demand() float64 {
+func (pq *poolQueue) demand() float64 {
 	demand := 0.0
-	pl.gate.Update(func(qu *admission.Queue, _ time.Time) {
+	pq.controller.Update(func(qu *admission.Queue, _ time.Time) {
 		running, waiting := qu.Load()
 		demand = float64(running + waiting)
 	})
 	return demand
 }
 
-// publish sends this entry's served usage, demand and requests in flight to the
-// other entries.
+// publish sends the usage and demand of this entry's queues, and its requests in
+// flight at each endpoint, to the other entries.
 func (po *pools) publish() {
 	po.mu.Lock()
 	queues := maps.Clone(po.queues)
 	po.mu.Unlock()
 	us := &rpc.Usage{}
-	for id, pl := range queues {
-		us.Pools = append(us.Pools, pl.usage(id))
+	for id, pq := range queues {
+		us.Pools = append(us.Pools, pq.usage(id))
 	}
 	for id, n := range po.daemon.tracker.InFlight() {
 		us.Endpoints = append(us.Endpoints, &rpc.EndpointUsage{Endpoint: string(id), InFlight: int64(n)})
@@ -322,9 +328,9 @@
 }
 
 // usage returns the report on the queue for the other entries.
-func (pl *pool) usage(id poolID) *rpc.PoolUsage {
-	pu := &rpc.PoolUsage{Pool: string(id), Demand: pl.demand()}
-	pl.gate.Update(func(qu *admission.Queue, now time.Time) {
+func (pq *poolQueue) usage(id poolID) *rpc.PoolUsage {
+	pu := &rpc.PoolUsage{Pool: string(id), Demand: pq.demand()}
+	pq.controller.Update(func(qu *admission.Queue, now time.Time) {
 		re := qu.Report(now)
 		for _, ou := range re.Organisations {
 			pu.Organisations = append(pu.Organisations, &rpc.OrganisationUsage{
@@ -344,11 +350,11 @@
 }
 
 // estimate returns the expected number of tokens of a rank's answer, at most
-// maxTokens when that is set, and the expected time to generate them.
-func (pl *pool) estimate(id policy.RankID, maxTokens int64) (tokens float64, duration time.Duration) {
-	pl.mu.Lock()
-	defer pl.mu.Unlock()
-	ae := pl.estimateLocked(id)
+// maxTokens unless that is 0, and the expected time to generate them.
+func (pq *poolQueue) estimate(id policy.RankID, maxTokens int64) (tokens float64, duration time.Duration) {
+	pq.mu.Lock()
+	defer pq.mu.Unlock()
+	ae := pq.estimateLocked(id)
 	tokens = ae.tokensPerAnswer
 	if maxTokens > 0 {
 		tokens = min(tokens, float64(maxTokens))
@@ -357,33 +363,33 @@
 }
 
 // estimateLocked returns the rank's estimate, or the initial one. mu must be held.
-func (pl *pool) estimateLocked(id policy.RankID) answerEstimate {
-	if ae, ok := pl.estimates[id]; ok {
+func (pq *poolQueue) estimateLocked(id policy.RankID) answerEstimate {
+	if ae, ok := pq.estimates[id]; ok {
 		return ae
 	}
 	return answerEstimate{secondsPerToken: initialSecondsPerToken, tokensPerAnswer: initialTokensPerAnswer}
 }
 
-// observe updates the rank's estimate with an answer that ended. An answer without
+// observe updates the rank's estimate with a complete answer. An answer without
 // tokens is ignored.
-func (pl *pool) observe(id policy.RankID, tokens int64, took time.Duration) {
+func (pq *poolQueue) observe(id policy.RankID, tokens int64, took time.Duration) {
 	if tokens <= 0 {
 		return
 	}
-	pl.mu.Lock()
-	defer pl.mu.Unlock()
-	ae := pl.estimateLocked(id)
+	pq.mu.Lock()
+	defer pq.mu.Unlock()
+	ae := pq.estimateLocked(id)
 	ae.tokensPerAnswer += estimateSmoothing * (float64(tokens) - ae.tokensPerAnswer)
 	ae.secondsPerToken += estimateSmoothing * (took.Seconds()/float64(tokens) - ae.secondsPerToken)
-	pl.estimates[id] = ae
+	pq.estimates[id] = ae
 }
 
-// each calls fn for every pool, without holding mu.
-func (po *pools) each(fn func(id poolID, pl *pool)) {
+// each calls fn for the queue of every pool, without holding mu.
+func (po *pools) each(fn func(id poolID, pq *poolQueue)) {
 	po.mu.Lock()
 	queues := maps.Clone(po.queues)
 	po.mu.Unlock()
-	for id, pl := range queues {
-		fn(id, pl)
+	for id, pq := range queues {
+		fn(id, pq)
 	}
 }
--- a/entry/rollouts.go
+++ b/entry/rollouts.go
@@ -17,48 +17,49 @@
 // of candidate versions. The keys have the form health/ROLLOUT/VM.
 const HealthPrefix = "health/"
 
-// rollouts evaluates candidate versions by the outcomes that this entry observes.
-// It immediately stops assigning new sessions to a bad candidate and publishes
-// the finding, by which the other entries stop too and a steward aborts the
-// roll-out.
+// rollouts tests candidate versions by the outcomes that this entry observes. When
+// it rejects a candidate, this entry assigns no new sessions to it from then on and
+// publishes the rejection, after which the other entries assign none either and a
+// steward aborts the roll-out.
 //
-// mu guards guards and suspects. publish holds it while it takes the locks of the
-// peer group and of the board; mu is never taken while one of these is held.
+// mu guards observed and suspects. publish holds it while it takes the locks of the
+// peer group and of its table; mu is never taken while one of these is held.
 type rollouts struct {
 	peers  *peer.Group
 	holder *configuration.Holder
 	log    *event.Log
 
-	mu     sync.Mutex
-	guards map[policy.RolloutID]*guardedRollout
-	// suspects are the candidate versions that this entry or another one found bad.
+	mu       sync.Mutex
+	observed map[policy.RolloutID]*observedRollout
+	// suspects are the candidate versions that this entry or another one rejected.
 	suspects map[policy.VersionID]bool
 }
 
-// guardedRollout is an active roll-out and the outcomes observed in it.
-type guardedRollout struct {
+// observedRollout is an active roll-out and the outcomes observed in it.
+type observedRollout struct {
 	rollout policy.Rollout
-	// phase identifies the run of the record that the counts belong to.
-	phase rolloutPhase
-	guard rollout.HealthTest
-	// reason is why the candidate was found bad, "" when it was not.
+	// versions are the versions whose outcomes are in health.
+	versions versionPair
+	health   rollout.HealthTest
+	// reason is why the candidate was rejected, "" when it was not.
 	reason string
 }
 
-// rolloutPhase distinguishes two runs of one roll-out record by their versions.
-type rolloutPhase struct {
+// versionPair holds the versions of a roll-out. When they change, the same record
+// stands for another roll-out.
+type versionPair struct {
 	to   policy.VersionID
 	from policy.VersionID
 }
 
-func phaseOf(ro policy.Rollout) rolloutPhase {
-	return rolloutPhase{to: policy.VersionID(ro.ToVersion), from: policy.VersionID(ro.FromVersion)}
+func versionPairOf(ro policy.Rollout) versionPair {
+	return versionPair{to: policy.VersionID(ro.ToVersion), from: policy.VersionID(ro.FromVersion)}
 }
 
 func newRollouts(pe *peer.Group, ho *configuration.Holder, lo *event.Log) *rollouts {
 	return &rollouts{
 		peers: pe, holder: ho, log: lo,
-		guards: map[policy.RolloutID]*guardedRollout{}, suspects: map[policy.VersionID]bool{},
+		observed: map[policy.RolloutID]*observedRollout{}, suspects: map[policy.VersionID]bool{},
 	}
 }
 
@@ -76,8 +77,8 @@
 	return ok && policy.VersionID(rec.ToVersion) == tg.version.ID
 }
 
-// observe records an attempt's outcome if its model is being rolled out, and marks
-// the candidate as suspect once the guard finds it bad.
+// observe records an attempt's outcome if a roll-out of its model is active, and
+// marks the candidate as suspect once the health test rejects it.
 func (ro *rollouts) observe(tg target, ou rollout.Outcome) {
 	rec, ok := ro.holder.Set().ActiveRollout(tg.model)
 	if !ok {
@@ -85,33 +86,33 @@
 	}
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
-	gu := ro.getLocked(rec)
+	ob := ro.getLocked(rec)
 	switch tg.version.ID {
 	case policy.VersionID(rec.FromVersion):
-		gu.guard.Stable(ou)
+		ob.health.Stable(ou)
 	case policy.VersionID(rec.ToVersion):
-		gu.guard.Candidate(ou)
-		if gu.reason = gu.guard.RejectionReason(); gu.reason != "" && !ro.suspects[tg.version.ID] {
+		ob.health.Candidate(ou)
+		if ob.reason = ob.health.RejectionReason(); ob.reason != "" && !ro.suspects[tg.version.ID] {
 			ro.suspects[tg.version.ID] = true
-			ro.log.Warn(event.VersionSuspect, nil, event.Fields{"version": tg.version.ID, "reason": gu.reason})
+			ro.log.Warn(event.VersionSuspect, nil, event.Fields{"version": tg.version.ID, "reason": ob.reason})
 		}
 	}
 }
 
 // getLocked returns the state of a roll-out, and starts it anew when the record's
 // versions have changed. mu must be held.
-func (ro *rollouts) getLocked(rec policy.Rollout) *guardedRollout {
-	gu, ok := ro.guards[rec.ID]
-	if !ok || gu.phase != phaseOf(rec) {
-		gu = &guardedRollout{phase: phaseOf(rec)}
-		ro.guards[rec.ID] = gu
+func (ro *rollouts) getLocked(rec policy.Rollout) *observedRollout {
+	ob, ok := ro.observed[rec.ID]
+	if !ok || ob.versions != versionPairOf(rec) {
+		ob = &observedRollout{versions: versionPairOf(rec)}
+		ro.observed[rec.ID] = ob
 	}
-	gu.rollout = rec
-	return gu
+	ob.rollout = rec
+	return ob
 }
 
-// refresh removes the state of ended roll-outs, and sets the suspects from this
-// entry's findings and those that the other entries published.
+// refresh removes the state of ended roll-outs, and sets the suspects from the
+// rejections by this entry and those that the other entries published.
 func (ro *rollouts) refresh() {
 	se := ro.holder.Set()
 	reported := map[policy.VersionID]bool{}
@@ -123,30 +124,30 @@
 	}
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
-	for id := range ro.guards {
+	for id := range ro.observed {
 		if rec, ok := se.Rollouts.ByID(id); !ok || !rec.Active() {
-			delete(ro.guards, id)
+			delete(ro.observed, id)
 		}
 	}
 	ro.suspects = map[policy.VersionID]bool{}
 	for _, rec := range se.Rollouts.List() {
 		id := policy.VersionID(rec.ToVersion)
-		gu, ok := ro.guards[rec.ID]
-		if rec.Active() && (reported[id] || ok && gu.reason != "") {
+		ob, ok := ro.observed[rec.ID]
+		if rec.Active() && (reported[id] || ok && ob.reason != "") {
 			ro.suspects[id] = true
 		}
 	}
 }
 
-// publish sends this entry's counts and findings on candidate versions to the
-// other daemons.
+// publish sends this entry's counts of answers and failures of candidate versions,
+// and whether and why it rejected them, to the other daemons.
 func (ro *rollouts) publish() {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
-	for id, gu := range ro.guards {
+	for id, ob := range ro.observed {
 		ro.peers.Publish(HealthPrefix+string(id)+"/"+string(ro.peers.VM()), &rpc.VersionHealth{
-			Version: gu.rollout.ToVersion, Answers: gu.guard.Answers, Failures: gu.guard.Failures,
-			Suspect: gu.reason != "", Reason: gu.reason,
+			Version: ob.rollout.ToVersion, Answers: ob.health.Answers, Failures: ob.health.Failures,
+			Suspect: ob.reason != "", Reason: ob.reason,
 		})
 	}
 }
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -21,18 +21,19 @@
 )
 
 const (
-	// maxVersionChoices is how often the version of a request is chosen: once, and
-	// again each time the chosen version is withdrawn before the send.
+	// maxVersionChoices is the maximum number of times that the version of a request
+	// is chosen: once, and again after each errWithdrawn.
 	maxVersionChoices = 3
 	// billCopyTimeout is the longest time that the end of an answer is held back
-	// until the copies of its bill are stored.
+	// until a peer or the store has its bill.
 	billCopyTimeout = 1500 * time.Millisecond
-	// secondsPerPromptKiloToken is the expected time to process 1000 prompt tokens.
-	secondsPerPromptKiloToken = 0.1
+	// secondsPerThousandPromptTokens is the expected time to process 1000 prompt
+	// tokens.
+	secondsPerThousandPromptTokens = 0.1
 )
 
-// serveChat runs a chat request and writes the response. It chooses the version
-// again when that is withdrawn before the send.
+// serveChat runs a chat request and writes the response. If the chosen version is
+// withdrawn before the send, it chooses again, up to maxVersionChoices times in all.
 func (da *Daemon) serveChat(co *gin.Context, ch *chatRequest) {
 	ctx, cancel := context.WithDeadline(co.Request.Context(), ch.deadline)
 	defer cancel()
@@ -52,12 +53,12 @@
 	}
 	da.abortChat(co, ch, sl, problem{
 		status: http.StatusServiceUnavailable, code: "version_withdrawn",
-		message: "the versions were withdrawn one after the other", retryAt: time.Now().Add(overloadedRetryDelay),
+		message: "the versions were withdrawn one after the other", retryAt: time.Now().Add(defaultRetryDelay),
 	})
 }
 
-// abortChat records a refused request and writes the problem, which says that the
-// outcome is unknown when a byte of the request may have reached an endpoint.
+// abortChat records a refused request and writes the problem. It sets the problem's
+// ran to RanUnknown when a byte of the request may have reached an endpoint.
 func (da *Daemon) abortChat(co *gin.Context, ch *chatRequest, sl *stepLog, pr problem) {
 	if ch.sent {
 		pr.ran = RanUnknown
@@ -68,21 +69,22 @@
 }
 
 // runChat waits in the queue for a slot, sends the request to an endpoint and
-// relays the answer. A nil error means that a response was started; otherwise the
-// error is errWithdrawn or a *problem.
+// relays the answer. It returns nil once an endpoint has started to answer, even if
+// the answer then fails, since the response has been written. Otherwise it returns
+// errWithdrawn or a *problem, and nothing has been written.
 func (da *Daemon) runChat(ctx context.Context, co *gin.Context, ch *chatRequest, tg target, sl *stepLog) error {
-	pl := da.pools.get(modelPool(tg.model))
-	ti, pr := da.chatTicket(ch, pl)
+	pq := da.pools.get(modelPool(tg.model))
+	ti, pr := da.chatTicket(ch, pq)
 	if pr != nil {
 		return pr
 	}
-	if err := pl.gate.Acquire(ctx, ti); err != nil {
+	if err := pq.controller.Acquire(ctx, ti); err != nil {
 		pr := admissionProblem(err)
 		return &pr
 	}
 	da.metrics.QueueWait.Record(co, time.Since(ch.arrived).Seconds(), metric.With(metric.KeyRank, string(ch.rank.ID)))
 	served := admission.Cost(0)
-	defer func() { pl.gate.Release(ti, served) }()
+	defer func() { pq.controller.Release(ti, served) }()
 	startedAt := time.Now()
 	at := &attempts{daemon: da, chat: ch, target: tg, steps: sl}
 	op, err := at.open(ctx)
@@ -95,7 +97,7 @@
 	result := placement.Succeeded
 	switch {
 	case an.failure == nil:
-		pl.observe(ch.rank.ID, int64(an.outputTokens()), time.Since(startedAt))
+		pq.observe(ch.rank.ID, int64(an.outputTokens()), time.Since(startedAt))
 	case an.callerGone || ctx.Err() != nil:
 		result = placement.Neutral
 	default:
@@ -107,18 +109,19 @@
 	return nil
 }
 
-// chatTicket returns the request's ticket for a queue, with its cost in expected
-// tokens and the latest start by which it can meet its deadline.
-func (da *Daemon) chatTicket(ch *chatRequest, pl *pool) (*admission.Ticket, *problem) {
+// chatTicket returns the request's ticket for a queue. Its cost is the expected
+// number of output tokens. Its latest start leaves the expected time to process the
+// prompt and to generate the answer before the deadline.
+func (da *Daemon) chatTicket(ch *chatRequest, pq *poolQueue) (*admission.Ticket, *problem) {
 	or, ok := da.holder.Set().Organisations.ByID(ch.organisation)
 	if !ok {
 		return nil, unknownModel(ch.modelName)
 	}
-	tokens, lasts := pl.estimate(ch.rank.ID, ch.maxTokens)
-	reading := time.Duration(float64(ch.promptTokens()) / 1000 * secondsPerPromptKiloToken * float64(time.Second))
+	tokens, generation := pq.estimate(ch.rank.ID, ch.maxTokens)
+	promptTime := time.Duration(float64(ch.promptTokens()) / 1000 * secondsPerThousandPromptTokens * float64(time.Second))
 	return &admission.Ticket{
 		Organisation: ch.organisation, Share: or.Share, Rank: ch.rank.ID,
-		Cost: admission.Cost(tokens), LatestStart: admission.LatestStart(ch.arrived, ch.deadline.Add(-reading), lasts),
+		Cost: admission.Cost(tokens), LatestStart: admission.LatestStart(ch.arrived, ch.deadline.Add(-promptTime), generation),
 	}, nil
 }
 
@@ -130,7 +133,7 @@
 	if errors.Is(err, errWithdrawn) || errors.As(err, &pr) {
 		return err
 	}
-	out := &problem{status: http.StatusBadGateway, code: "endpoint_failed", message: err.Error(), retryAt: time.Now().Add(overloadedRetryDelay)}
+	out := &problem{status: http.StatusBadGateway, code: "endpoint_failed", message: err.Error(), retryAt: time.Now().Add(defaultRetryDelay)}
 	var fa *endpoint.Failure
 	switch {
 	case errors.As(err, &fa) && fa.InvalidRequest():
@@ -152,12 +155,13 @@
 
 // answerRelay relays one answer from an endpoint to the caller.
 type answerRelay struct {
-	daemon  *Daemon
-	chat    *chatRequest
-	target  target
-	opened  *openedAnswer
-	steps   *stepLog
-	answer  answerBuilder
+	daemon *Daemon
+	chat   *chatRequest
+	target target
+	opened *openedAnswer
+	steps  *stepLog
+	answer answerBuilder
+	// failure is why the answer is incomplete, nil when it is complete.
 	failure error
 	// callerGone is set when failure came from writing to the caller, not from
 	// reading from the endpoint.
@@ -192,8 +196,9 @@
 	an.finish(ctx, co, aw)
 }
 
-// setHeaders sets the response headers that name the version, the endpoint, the
-// bill and the session token.
+// setHeaders sets the response headers of an answer. They name its version,
+// endpoint and bill, state that the request was run, and hold the session's token
+// and, if the session moved, its earlier version.
 func (an *answerRelay) setHeaders(co *gin.Context) {
 	co.Header(HeaderVersion, string(an.target.version.ID))
 	co.Header(HeaderEndpoint, string(an.opened.endpoint.ID))
@@ -260,7 +265,7 @@
 	case "cut", "deadline":
 		aw.abort(problem{
 			status: http.StatusBadGateway, code: "answer_incomplete", ran: RanUnknown,
-			message: "the answer was cut off and is not billed: " + an.failure.Error(), retryAt: time.Now().Add(overloadedRetryDelay),
+			message: "the answer was cut off and is not billed: " + an.failure.Error(), retryAt: time.Now().Add(defaultRetryDelay),
 		})
 	}
 	an.daemon.recordRequest(co, an.chat.request, outcome)
@@ -279,15 +284,23 @@
 	an.daemon.addBill(bi)
 }
 
-// addBill adds a bill to the book and waits up to billCopyTimeout until its copies
-// are stored. A failure is only logged and does not hold back the answer, since
-// this entry keeps the bill until it is sealed.
+// addBill adds a bill to the book and waits up to billCopyTimeout until a peer or
+// the store has it. If neither has it by then, this is only logged and the answer
+// goes on, since this entry keeps the bill until it is sealed.
 func (da *Daemon) addBill(bi *rpc.Bill) {
 	ctx, cancel := context.WithTimeout(da.group.Context(), billCopyTimeout)
 	defer cancel()
 	if err := da.book.Add(ctx, bi); err != nil {
-		da.log.Warn(billEvent, err, billFields(bi))
+		da.log.Warn(billNotCopied, err, billFields(bi))
 	}
 	da.metrics.Answers.Add(ctx, 1, metric.With(metric.KeyVersion, bi.GetVersion()))
 	da.metrics.CostMicro.Add(ctx, bi.GetCost(), metric.With(metric.KeyVersion, bi.GetVersion()))
 }
+
+// billNotCopied is logged for a bill that neither a peer nor the store is known to
+// have.
+const billNotCopied = event.BillsNotCopied
+
+func billFields(bi *rpc.Bill) event.Fields {
+	return event.Fields{"bill": bi.GetId(), "organisation": bi.GetOrganisation(), "cost": bi.GetCost()}
+}
