--- a/steward/orders.go
+++ b/steward/orders.go
@@ -18,14 +18,15 @@
 )
 
 const (
-	// inspectInterval is the time between two requests for an engine's loaded
-	// models.
+	// inspectInterval is the minimum time between two requests for one engine's
+	// loaded models.
 	inspectInterval = 5 * time.Second
 	// ordersRunTimeout bounds one run of an orders task. All tasks of a steward
 	// share one goroutine, so engines that do not answer must not delay the abort
 	// of a roll-out.
 	ordersRunTimeout = time.Second
-	// maxInspections is the maximum number of engines inspected in one run.
+	// maxInspections is the maximum number of engines inspected in one run. The next
+	// run inspects the others.
 	maxInspections = 32
 )
 
@@ -75,8 +76,9 @@
 	return en.ChecksFencing || time.Since(ho.Since) >= ttl
 }
 
-// inspect requests the models that an engine has loaded and sends orders for the
-// versions that differ from their records.
+// inspect requests the models that an engine has loaded. It orders the engine to load
+// live versions of its endpoint record that are missing, and to unload withdrawn ones.
+// Versions without a key in the weight store get no orders.
 func (ot *ordersTask) inspect(ctx context.Context, ho lease.Hold, se *policy.Set, en policy.Endpoint) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
@@ -89,14 +91,15 @@
 		if !ok || ve.Weights == "" || ve.Live() == slices.Contains(loaded, ve.EngineModel) {
 			continue
 		}
-		if ve.Live() && !ot.daemon.loads.allow(ctx, ve.Weights) {
+		if ve.Live() && !ot.daemon.loadLimiter.allow(ctx, ve.Weights) {
 			continue
 		}
 		ot.sendOrder(ctx, ho, en, endpoint.Order{URL: en.Url, Model: ve.EngineModel, Weights: ve.Weights, Load: ve.Live(), FencingToken: int64(ho.Token)})
 	}
 }
 
-// sendOrder sends one order, unless the task's lease may have expired.
+// sendOrder sends one order, unless the task's lease may have expired, and logs and
+// counts its outcome.
 func (ot *ordersTask) sendOrder(ctx context.Context, ho lease.Hold, en policy.Endpoint, or endpoint.Order) {
 	da := ot.daemon
 	if _, ok := da.leases.Holds(ho.Task); !ok {
@@ -118,12 +121,15 @@
 }
 
 // loadLimiter limits the loads that this steward orders to the rate at which the
-// weight store serves weights. It is used by one goroutine.
+// weight store serves weights: one in each interval, and none while the store is not
+// ready. It is used by one goroutine.
 type loadLimiter struct {
+	// url is the base URL of the weight store, "" if there is none.
 	url      string
 	client   *http.Client
 	interval time.Duration
-	nextAt   time.Time
+	// nextAt is the earliest time of the next load.
+	nextAt time.Time
 }
 
 func newLoadLimiter(url string, perMinute float64, ne network.Network) *loadLimiter {
@@ -132,10 +138,9 @@
 
 func (ll *loadLimiter) close() { ll.client.CloseIdleConnections() }
 
-// allow reports whether a load of the weights may be ordered now: the interval
-// since the last load has passed, and the weight store is ready to serve them. A
-// store that is not ready uses up the interval too. Without a weight store only
-// the interval counts.
+// allow reports whether a load of the weights may be ordered now: the interval has
+// passed, and the weight store, if there is one, is ready to serve them. Each call
+// after the interval has passed starts a new one, also if the store is not ready.
 func (ll *loadLimiter) allow(ctx context.Context, key string) bool {
 	if time.Now().Before(ll.nextAt) {
 		return false
--- a/steward/ratings.go
+++ b/steward/ratings.go
@@ -16,7 +16,7 @@
 	"tanagerpoint.example/tanager/store"
 )
 
-// checkpointInterval is the minimum time between two writes of the sums to the
+// checkpointInterval is the minimum time between two writes of the checkpoint to the
 // store.
 const checkpointInterval = 15 * time.Second
 
@@ -24,15 +24,18 @@
 // to the entries. It also writes the sums to the store, from which the next lease
 // holder continues.
 type ratingsTask struct {
-	daemon    *Daemon
-	sums      checkpoint
-	loaded    bool
+	daemon     *Daemon
+	checkpoint checkpoint
+	// loaded reports whether the checkpoint has been read from the store.
+	loaded bool
+	// writtenAt is the time of the last write of the checkpoint.
 	writtenAt time.Time
-	choosers  map[string]*cascade.Chooser
+	// choosers compute the sums, by the cascade's id.
+	choosers map[string]*cascade.Chooser
 }
 
-// checkpoint is the task's state in the store, encoded as JSON. Sequence is that
-// of the last rating read.
+// checkpoint is the task's state in the store, encoded as JSON. Sequence is the
+// sequence number of the last rating read.
 type checkpoint struct {
 	Sequence int64       `json:"sequence"`
 	Sums     []ratingSum `json:"sums"`
@@ -52,20 +55,20 @@
 	return &ratingsTask{daemon: da, choosers: map[string]*cascade.Chooser{}}
 }
 
-func (rt *ratingsTask) key() store.Key { return rt.daemon.keys.Root + "ratings" }
+func (rt *ratingsTask) checkpointKey() store.Key { return rt.daemon.keys.Root + "ratings" }
 
 // run implements task. The task is never done.
 func (rt *ratingsTask) run(ctx context.Context, ho lease.Hold) bool {
 	if !rt.loaded && !rt.loadCheckpoint(ctx) {
 		return false
 	}
-	ras, err := rt.daemon.ratings.RatingsAfter(ctx, rt.sums.Sequence)
+	ras, err := rt.daemon.ratings.RatingsAfter(ctx, rt.checkpoint.Sequence)
 	if err != nil {
 		rt.daemon.log.Debug(event.RatingsUnreachable, err, nil)
 		return false
 	}
 	for _, ra := range ras {
-		rt.sums.Sequence = max(rt.sums.Sequence, ra.Sequence)
+		rt.checkpoint.Sequence = max(rt.checkpoint.Sequence, ra.Sequence)
 		rt.daemon.metrics.Quality.Record(ctx, ra.Quality, metric.With(metric.KeyVersion, ra.Version))
 		if _, ok := rt.daemon.holder.Set().Cascades.ByID(policy.CascadeID(ra.Cascade)); ok {
 			rt.addRating(ra.Cascade, ra.Work, ra.Version, ra.Quality)
@@ -78,36 +81,36 @@
 	return false
 }
 
-// addRating adds a rating to its sum. The arithmetic is that of
-// cascade.Chooser, because entries set their estimates to the sums.
-func (rt *ratingsTask) addRating(name, work, version string, quality float64) {
-	ch, ok := rt.choosers[name]
+// addRating adds a rating to its sum. A cascade.Chooser computes it, because the
+// entries' choosers take their estimates from the sums.
+func (rt *ratingsTask) addRating(cascadeID, work, version string, quality float64) {
+	ch, ok := rt.choosers[cascadeID]
 	if !ok {
 		ch = cascade.NewChooser(0)
-		rt.choosers[name] = ch
+		rt.choosers[cascadeID] = ch
 	}
-	su := rt.sum(name, work, version)
+	su := rt.sum(cascadeID, work, version)
 	ch.AddRating(cascade.WorkKind(work), policy.VersionID(version), quality)
 	su.Weight, su.Mean = ch.Estimate(cascade.WorkKind(work), policy.VersionID(version))
 }
 
 // sum returns the sum of a cascade, kind of work and version, and adds it if there
 // is none. The pointer is valid until the next call.
-func (rt *ratingsTask) sum(name, work, version string) *ratingSum {
-	for i := range rt.sums.Sums {
-		su := &rt.sums.Sums[i]
-		if su.Cascade == name && su.Work == work && su.Version == version {
+func (rt *ratingsTask) sum(cascadeID, work, version string) *ratingSum {
+	for i := range rt.checkpoint.Sums {
+		su := &rt.checkpoint.Sums[i]
+		if su.Cascade == cascadeID && su.Work == work && su.Version == version {
 			return su
 		}
 	}
-	rt.sums.Sums = append(rt.sums.Sums, ratingSum{Cascade: name, Work: work, Version: version})
-	return &rt.sums.Sums[len(rt.sums.Sums)-1]
+	rt.checkpoint.Sums = append(rt.checkpoint.Sums, ratingSum{Cascade: cascadeID, Work: work, Version: version})
+	return &rt.checkpoint.Sums[len(rt.checkpoint.Sums)-1]
 }
 
 // publish sends the sums to the entries, as one item per cascade.
 func (rt *ratingsTask) publish(ho lease.Hold) {
 	byCascade := map[string]*rpc.Ratings{}
-	for _, su := range rt.sums.Sums {
+	for _, su := range rt.checkpoint.Sums {
 		ras, ok := byCascade[su.Cascade]
 		if !ok {
 			ras = &rpc.Ratings{}
@@ -115,24 +118,24 @@
 		}
 		ras.Sums = append(ras.Sums, &rpc.RatingSum{Work: su.Work, Version: su.Version, Weight: su.Weight, Mean: su.Mean})
 	}
-	for name, ras := range byCascade {
+	for cascadeID, ras := range byCascade {
 		ve := peer.Version{Fence: int64(ho.Token), Sequence: time.Now().UnixNano()}
-		rt.daemon.peers.PublishVersion(entry.RatingsPrefix+name, ve, ras)
+		rt.daemon.peers.PublishVersion(entry.RatingsPrefix+cascadeID, ve, ras)
 	}
 }
 
-// loadCheckpoint reads the sums from the store and reports whether the store was
+// loadCheckpoint reads the checkpoint from the store and reports whether the store was
 // reached. A missing or unreadable checkpoint counts as an empty one.
 func (rt *ratingsTask) loadCheckpoint(ctx context.Context) bool {
-	pa, err := rt.daemon.store.Get(ctx, rt.key())
+	pa, err := rt.daemon.store.Get(ctx, rt.checkpointKey())
 	if err != nil {
 		return false
 	}
 	rt.loaded = true
-	if len(pa.KeyValues) == 0 || json.Unmarshal(pa.KeyValues[0].Value, &rt.sums) != nil {
+	if len(pa.KeyValues) == 0 || json.Unmarshal(pa.KeyValues[0].Value, &rt.checkpoint) != nil {
 		return true
 	}
-	for _, su := range rt.sums.Sums {
+	for _, su := range rt.checkpoint.Sums {
 		ch, ok := rt.choosers[su.Cascade]
 		if !ok {
 			ch = cascade.NewChooser(0)
@@ -143,16 +146,17 @@
 	return true
 }
 
-// writeCheckpoint writes the sums to the store, if the task's lease is still held.
+// writeCheckpoint writes the checkpoint to the store, provided that the store still has
+// the task's fencing token.
 func (rt *ratingsTask) writeCheckpoint(ctx context.Context, ho lease.Hold) {
-	value, err := json.Marshal(rt.sums)
+	value, err := json.Marshal(rt.checkpoint)
 	if err != nil {
 		return
 	}
 	fe := ho.Fence()
 	_, err = rt.daemon.store.Apply(ctx, store.Commit{
 		Compares: []store.Compare{{Key: fe.Key, ModRevision: fe.Token}},
-		Puts:     []store.Put{{Key: rt.key(), Value: value}},
+		Puts:     []store.Put{{Key: rt.checkpointKey(), Value: value}},
 	})
 	if err == nil {
 		rt.writtenAt = time.Now()
--- a/steward/rollout.go
+++ b/steward/rollout.go
@@ -17,23 +17,24 @@
 	"tanagerpoint.example/tanager/rpc"
 )
 
-// minRatedPerStep is the number of ratings of the candidate that a step needs if
-// there is a rating service; a step that needs fewer answers needs only as many
-// ratings.
-const minRatedPerStep = 20
+// minRatingsPerStep is the number of ratings of the candidate that a step needs if
+// there is a rating service. If AnswersPerStep is smaller, that many ratings are
+// enough.
+const minRatingsPerStep = 20
 
 // rolloutTask advances one roll-out from step to step, or aborts it.
 type rolloutTask struct {
 	daemon  *Daemon
 	id      policy.RolloutID
 	quality *rollout.QualityTest
-	// sequence is that of the last rating read.
+	// sequence is the sequence number of the last rating read, 0 before the first. A
+	// new task reads all ratings that the rating service has.
 	sequence int64
-	// answersByItem holds the last answer count of the candidate that each entry
-	// published, by the key of its item.
+	// answersByItem holds the candidate's answer count that each entry published
+	// last, by the key of the entry's item.
 	answersByItem map[string]int64
-	// answers and rated count the candidate's answers and ratings since the
-	// current step began.
+	// answers and rated count the candidate's answers and ratings that this task has
+	// read since the current step began.
 	answers int64
 	rated   int64
 	// share is the share of new sessions in the current step, -1 before the first run.
@@ -44,7 +45,9 @@
 	return &rolloutTask{daemon: da, id: id, answersByItem: map[string]int64{}, share: -1}
 }
 
-// run implements task. The task is done when the roll-out is no longer active.
+// run implements task. The task is done when the roll-out is no longer active. A
+// roll-out at share 0 advances to its first step at once. A paused one does not
+// advance, but is still aborted for a bad candidate.
 func (rt *rolloutTask) run(ctx context.Context, ho lease.Hold) bool {
 	se := rt.daemon.holder.Set()
 	ro, ok := se.Rollouts.ByID(rt.id)
@@ -76,11 +79,12 @@
 	if rt.answers < ro.AnswersPerStep {
 		return false
 	}
-	return rt.daemon.ratings == nil || rt.rated >= min(minRatedPerStep, ro.AnswersPerStep)
+	return rt.daemon.ratings == nil || rt.rated >= min(minRatingsPerStep, ro.AnswersPerStep)
 }
 
-// readHealth adds the new answers that the entries report for the candidate. It
-// returns the reason if an entry suspects the candidate, and "" otherwise.
+// readHealth adds the candidate's answers that the entries have reported since the last
+// call. The first report of an entry only sets the count to compare with. It returns
+// the reason if an entry suspects the candidate, and "" otherwise.
 func (rt *rolloutTask) readHealth(ro policy.Rollout) string {
 	reason := ""
 	for _, it := range rt.daemon.peers.Table().List(entry.HealthPrefix + string(rt.id) + "/") {
@@ -162,8 +166,9 @@
 }
 
 // apply commits changes of fields, provided that the store still has the task's
-// fencing token, and logs nu. A conflict with an operator's change is neither
-// logged nor retried: the next run reads the operator's record.
+// fencing token, and logs event nu. A conflict with an operator's change is neither
+// logged nor retried: the next run reads the operator's record. An error that is
+// neither a conflict nor ErrFenced is logged as StoreUnreachable.
 func (rt *rolloutTask) apply(ctx context.Context, ho lease.Hold, se *policy.Set, nu event.Number, fis ...fieldChange) {
 	da := rt.daemon
 	changes, err := recordChanges(se, fis)
@@ -187,8 +192,8 @@
 	}
 }
 
-// recordChanges returns the changes of records that set the fields, one for each
-// record.
+// recordChanges returns the changes that set the fields, one for each record, so that
+// fields of the same record change together.
 func recordChanges(se *policy.Set, fis []fieldChange) ([]configuration.Change, error) {
 	var out []configuration.Change
 	byKey := map[string]int{}
--- a/steward/steward.go
+++ b/steward/steward.go
@@ -30,7 +30,9 @@
 
 const (
 	readHeaderTimeout = 5 * time.Second
-	orderTimeout      = 2 * time.Second
+	// orderTimeout bounds the calls to one engine, and is the longest silence of a
+	// connection to it. The shorter ordersRunTimeout bounds all calls of one run.
+	orderTimeout = 2 * time.Second
 	// preferredStewards is the number of stewards that try to acquire a free task.
 	preferredStewards = 2
 )
@@ -43,19 +45,19 @@
 	metrics  *metric.Metrics
 	group    *worker.Group
 
-	store   *store.Client
-	keys    configuration.Keys
-	holder  *configuration.Holder
-	watcher *configuration.Watcher
-	writer  *configuration.Writer
-	vms     *vm.List
-	peers   *peer.Group
-	leases  *lease.Manager
-	client  *endpoint.Client
-	ratings *rating.Client
-	loads   *loadLimiter
-	tasks   *taskRunner
-	servers []*http.Server
+	store       *store.Client
+	keys        configuration.Keys
+	holder      *configuration.Holder
+	watcher     *configuration.Watcher
+	writer      *configuration.Writer
+	vms         *vm.List
+	peers       *peer.Group
+	leases      *lease.Manager
+	client      *endpoint.Client
+	ratings     *rating.Client
+	loadLimiter *loadLimiter
+	tasks       *taskRunner
+	servers     []*http.Server
 }
 
 // New returns a daemon that is not running yet; Start starts it.
@@ -77,11 +79,13 @@
 	if ur := ss.GetPlatform().GetRatingUrl(); ur != "" {
 		da.ratings = rating.NewClient(ur, ne)
 	}
-	da.loads = newLoadLimiter(ss.GetPlatform().GetWeightsUrl(), ss.GetSteward().GetLoadsPerMinute(), ne)
+	da.loadLimiter = newLoadLimiter(ss.GetPlatform().GetWeightsUrl(), ss.GetSteward().GetLoadsPerMinute(), ne)
 	da.tasks = newTaskRunner(da)
 	return da, nil
 }
 
+// peerOptions returns the options of the peer group. The VM list names entries only;
+// the addresses of other stewards come from member records that peers pass on.
 func (da *Daemon) peerOptions() peer.Options {
 	opt := peer.OptionsOf(da.settings, peer.RoleSteward)
 	opt.PeerAddresses = da.vms.EntryAddresses
@@ -92,6 +96,7 @@
 // goroutines.
 func (da *Daemon) Start() error {
 	ls := da.settings.GetListen()
+	// A steward holds neither copies of bills nor pins.
 	peers := peer.NewServer(da.peers, nil, nil)
 	if err := da.serve(ls.GetPeers(), peers.Handler()); err != nil {
 		return eris.Wrap(err, "Daemon.Start")
@@ -134,7 +139,7 @@
 	if da.ratings != nil {
 		da.ratings.Close()
 	}
-	da.loads.close()
+	da.loadLimiter.close()
 	da.client.Close()
 	da.peers.Close()
 	da.vms.Close()
@@ -161,8 +166,8 @@
 	}
 }
 
-// preferred reports whether this steward is one of those that try to acquire a
-// task.
+// preferred reports whether this steward is one of the preferredStewards that try to
+// acquire a task.
 func (da *Daemon) preferred(ta lease.Task) bool {
 	return da.peers.Preferred(string(ta), preferredStewards)
 }
--- a/steward/task.go
+++ b/steward/task.go
@@ -22,12 +22,12 @@
 	taskOrdersPrefix             = "orders/"
 )
 
-// taskPrefix is the prefix of the items that lease holders publish to their peers,
-// one per task.
-const taskPrefix = "task/"
+// holderItemPrefix is the key prefix of the items with which lease holders tell their
+// peers that they run a task, one per task. The task's name follows.
+const holderItemPrefix = "task/"
 
-// task is a unit of control work. One goroutine at a time runs it, and only while
-// the task's lease is held.
+// task is a unit of control work; its lease.Task is its name. One goroutine at a time
+// runs it, and only while the task's lease is held.
 type task interface {
 	// run does the work that is due now and reports whether the task is done, after
 	// which its lease is released.
@@ -40,8 +40,8 @@
 	daemon  *Daemon
 	held    map[lease.Task]task
 	stopped atomic.Bool
-	// retryAt is the time of the next attempt to acquire a task that could not be
-	// acquired.
+	// retryAt is the earliest time of the next attempt to acquire a task that could
+	// not be acquired.
 	retryAt map[lease.Task]time.Time
 }
 
@@ -52,8 +52,8 @@
 // stop makes further calls of run do nothing. It is safe to call concurrently with run.
 func (tr *taskRunner) stop() { tr.stopped.Store(true) }
 
-// run acquires free tasks and runs each held one. It drops tasks whose lease has
-// been lost.
+// run acquires free tasks, and publishes and runs each held one. It drops tasks whose
+// lease has expired or been lost, and releases those that are done.
 func (tr *taskRunner) run(ctx context.Context) {
 	if tr.stopped.Load() {
 		return
@@ -67,7 +67,7 @@
 			delete(tr.held, ta)
 			continue
 		}
-		tr.daemon.peers.PublishVersion(taskPrefix+string(ta), peer.Version{Fence: int64(ho.Token), Sequence: time.Now().UnixNano()}, &rpc.Member{Vm: string(tr.daemon.peers.VM())})
+		tr.daemon.peers.PublishVersion(holderItemPrefix+string(ta), peer.Version{Fence: int64(ho.Token), Sequence: time.Now().UnixNano()}, &rpc.Member{Vm: string(tr.daemon.peers.VM())})
 		if work.run(ctx, ho) {
 			delete(tr.held, ta)
 			if err := tr.daemon.leases.Release(ctx, ta); err != nil {
@@ -99,14 +99,15 @@
 	return out
 }
 
-// acquire tries to take the lease of a task. It does not try if its holder was
-// heard of within the last lease TTL.
+// acquire tries to acquire a task if this steward is preferred for it. It does not try
+// within a lease TTL of its last failed attempt, or of the last item that a holder
+// published.
 func (tr *taskRunner) acquire(ctx context.Context, ta lease.Task) {
 	if _, ok := tr.held[ta]; ok || time.Now().Before(tr.retryAt[ta]) || !tr.daemon.preferred(ta) {
 		return
 	}
 	ttl := tr.daemon.settings.GetSteward().GetLease().AsDuration()
-	if it, ok := tr.daemon.peers.Table().Get(taskPrefix + string(ta)); ok && time.Since(it.WrittenAt) < ttl {
+	if it, ok := tr.daemon.peers.Table().Get(holderItemPrefix + string(ta)); ok && time.Since(it.WrittenAt) < ttl {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, ttl)
@@ -122,7 +123,7 @@
 	tr.held[ta] = tr.newTask(ta)
 }
 
-// newTask returns the task of a name.
+// newTask returns the task with a name.
 func (tr *taskRunner) newTask(ta lease.Task) task {
 	if id, ok := strings.CutPrefix(string(ta), taskRolloutPrefix); ok {
 		return newRolloutTask(tr.daemon, policy.RolloutID(id))
--- a/steward/trim.go
+++ b/steward/trim.go
@@ -8,8 +8,8 @@
 	"tanagerpoint.example/tanager/lease"
 )
 
-// trimInterval is the time between trims of two records. Each trim costs a read of
-// the store.
+// trimInterval is the minimum time between the trims of two records. Each trim costs
+// a read of the store.
 const trimInterval = 2 * time.Second
 
 // trimTask deletes the oldest states from the history of records, one record at a
@@ -23,7 +23,9 @@
 
 func newTrimTask(da *Daemon) *trimTask { return &trimTask{daemon: da} }
 
-// run implements task. The task is never done.
+// run implements task. The task is never done. Trims are not conditional on the
+// fencing token: they delete only states beyond the limit of a history, whichever
+// steward makes them.
 func (tt *trimTask) run(ctx context.Context, _ lease.Hold) bool {
 	if time.Now().Before(tt.nextAt) {
 		return false
