--- a/cmd/tanagerctl/main.go
+++ b/cmd/tanagerctl/main.go
@@ -100,7 +100,7 @@
 	case err == nil:
 		return nil
 	case errors.As(err, &li):
-		return command.Exit(command.ExitBadSettings, err)
+		return command.Exit(command.ExitFindings, err)
 	case errors.As(err, &co), errors.Is(err, configuration.ErrFenced):
 		return command.Exit(command.ExitRefused, err)
 	case errors.Is(err, store.ErrOutcomeUnknown), errors.Is(err, store.ErrUnavailable):
--- a/command/command.go
+++ b/command/command.go
@@ -17,7 +17,7 @@
 	ExitOK          = 0
 	ExitFailed      = 1
 	ExitUsage       = 2
-	ExitBadSettings = 3
+	ExitFindings    = 3
 	ExitUnreachable = 4
 	ExitRefused     = 5
 )
--- a/command/daemon.go
+++ b/command/daemon.go
@@ -86,7 +86,7 @@
 		RunE: func(co *cobra.Command, _ []string) error {
 			se := pr.NewSettings()
 			if err := setting.Load(file, se); err != nil {
-				return Exit(ExitBadSettings, err)
+				return Exit(ExitFindings, err)
 			}
 			return pr.run(file, se)
 		},
@@ -207,7 +207,7 @@
 		Use: "check", Short: "Check a settings file", Long: checkHelp, Args: NoArguments,
 		RunE: func(co *cobra.Command, _ []string) error {
 			if err := setting.Load(file, pr.NewSettings()); err != nil {
-				return Exit(ExitBadSettings, err)
+				return Exit(ExitFindings, err)
 			}
 			_, err := fmt.Fprintln(co.OutOrStdout(), file+": no findings")
 			return err
