--- a/setting/setting.go
+++ b/setting/setting.go
@@ -18,8 +18,8 @@
 	"tanagerpoint.example/tanager/rpc"
 )
 
-// minSharedKeyLength is the minimum length of the peers' shared key, compared with
-// its length in bytes.
+// minSharedKeyLength is the minimum length of the peers' shared key, in bytes.
+// Messages to operators call them characters.
 const minSharedKeyLength = 16
 
 // Load reads a file into ms, a pointer to the settings message of a daemon, such as
@@ -27,6 +27,7 @@
 // error is a finding.List with all mistakes in the file.
 func Load(file string, ms proto.Message) error {
 	var li finding.List
+	// With AllowShadows, all values of a repeated key are kept; readKey reports them.
 	fl, err := ini.LoadSources(ini.LoadOptions{AllowShadows: true}, file)
 	if err != nil {
 		li.Add(finding.Place{File: file}, "cannot read: %v", err)
@@ -149,7 +150,7 @@
 		}
 		return protoreflect.ValueOfMessage(durationpb.New(du).ProtoReflect()), du.Seconds(), ""
 	default:
-		return protoreflect.Value{}, 0, "a key of this kind is not supported"
+		return protoreflect.Value{}, 0, "key has an unsupported type in schema/settings.proto: want string, int64, double or Duration"
 	}
 }
 
@@ -163,8 +164,9 @@
 }
 
 // checkValues finds values that parse but are invalid, by themselves or in
-// combination with others. It skips empty values, since readKey has reported missing
-// and malformed ones.
+// combination with others. Each daemon's settings have only some of the sections, so
+// it asserts the getter of each. It skips empty values, since readKey has reported
+// missing and malformed ones.
 func (rd reader) checkValues(ms proto.Message) {
 	if se, ok := ms.(interface{ GetListen() *rpc.ListenSection }); ok {
 		rd.checkListeners(se.GetListen().ProtoReflect())
--- a/setting/setting_test.go
+++ b/setting/setting_test.go
@@ -84,6 +84,7 @@
 	}
 }
 
+// FuzzLoad checks that Load does not panic. It may return any findings.
 func FuzzLoad(f *testing.F) {
 	f.Add(validSettings)
 	f.Add("[vm\n=\n[[x]]\nkey")
--- a/setting/template_test.go
+++ b/setting/template_test.go
@@ -12,8 +12,8 @@
 )
 
 // render fills in the deploy template as the users' platform does: {{name}} becomes
-// the value of that name, and {{#name}}...{{/name}} is left out without one. Within
-// such a section, {{.}} is its value.
+// the value of that name, or nothing. A section {{#name}}...{{/name}} is kept only if
+// name has a value, and {{.}} within it becomes that value.
 func render(template string, values map[string]string) string {
 	section := regexp.MustCompile(`(?s)\{\{#([a-z0-9_.]+)\}\}(.*?)\{\{/[a-z0-9_.]+\}\}`)
 	out := section.ReplaceAllStringFunc(template, func(text string) string {
