--- a/event/event.go
+++ b/event/event.go
@@ -152,8 +152,8 @@
 	queue *Queue
 }
 
-// NewLog returns a log that writes to wr in the format and from the level of se. Each
-// line names vm.
+// NewLog returns a log that writes to wr, in the format of se and from its level on.
+// With a nil se these are text and info. Each line names vm.
 func NewLog(wr io.Writer, se *rpc.LogSection, vm string) *Log {
 	lg := logrus.New()
 	lg.SetOutput(wr)
@@ -191,19 +191,20 @@
 func (lo *Log) Debug(nu Number, err error, fi Fields) { lo.write(logrus.DebugLevel, nu, err, fi) }
 
 // WarnLimited writes an event of a request that failed. At most
-// warnLinesPerWindow lines of each event are written in a second.
+// warnLinesPerWindow lines of each event are written in a limitWindow.
 func (lo *Log) WarnLimited(nu Number, err error, fi Fields) {
 	lo.writeLimited(logrus.WarnLevel, nu, err, fi, warnLinesPerWindow)
 }
 
 // InfoLimited writes an event of normal operation that requests cause. At most
-// infoLinesPerWindow lines of each event are written in a second.
+// infoLinesPerWindow lines of each event are written in a limitWindow.
 func (lo *Log) InfoLimited(nu Number, fi Fields) {
 	lo.writeLimited(logrus.InfoLevel, nu, nil, fi, infoLinesPerWindow)
 }
 
-// writeLimited writes a line if the rate limit allows it, and before it one line for
-// each event that was suppressed in a window that has ended.
+// writeLimited writes a line if the rate limit allows it. The first call after the end
+// of a window also writes the numbers of the lines suppressed in it, one line for each
+// event.
 func (lo *Log) writeLimited(le logrus.Level, nu Number, err error, fi Fields, limit int) {
 	if !lo.lg.Logger.IsLevelEnabled(le) {
 		return
--- a/event/event_test.go
+++ b/event/event_test.go
@@ -38,7 +38,8 @@
 
 // TestRequestLinesAreRateLimited writes far more lines than the limits allow. The
 // lines of successful requests must not use up the limit of failed ones, and the
-// numbers of suppressed lines must be logged.
+// numbers of suppressed lines must be logged. The limits are 12 and 40 lines a second,
+// and one more line is written after the first window.
 func TestRequestLinesAreRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var sb strings.Builder
@@ -65,6 +66,8 @@
 	return len(line), nil
 }
 
+// TestQueueNeverBlocks writes more lines than the queue holds, 2048, while the writer
+// below it is blocked.
 func TestQueueNeverBlocks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bw := blockedWriter{open: make(chan struct{})}
