--- a/metric/metric.go
+++ b/metric/metric.go
@@ -16,7 +16,8 @@
 )
 
 // Metrics holds a daemon's instruments. The help texts in registerInstruments say
-// what each one measures; durations are in seconds.
+// what each one measures; durations are in seconds. FirstToken measures the time to
+// the first token, and InTime counts first tokens by KeyInTime.
 type Metrics struct {
 	registry *prometheus.Registry
 	provider *sdk.MeterProvider
@@ -126,7 +127,8 @@
 // Close stops the meter provider.
 func (me *Metrics) Close() { _ = me.provider.Shutdown(context.Background()) }
 
-// With returns a measurement's attributes. pairs alternates between keys and values.
+// With returns the option that sets a measurement's attributes. pairs alternates
+// between keys and values.
 func With(pairs ...string) metric.MeasurementOption {
 	ats := make([]attribute.KeyValue, 0, len(pairs)/2)
 	for i := 0; i+1 < len(pairs); i += 2 {
