--- a/command/command.go
+++ b/command/command.go
@@ -17,9 +17,9 @@
 	ExitOK          = 0
 	ExitFailed      = 1
 	ExitUsage       = 2
-	ExitFindings    = 3
-	ExitUnreachable = 4
-	ExitRefused     = 5
+	ExitFindings    = 3 // findings in settings or in policy records
+	ExitUnreachable = 4 // cannot reach the store or a daemon
+	ExitRefused     = 5 // a change conflicts with another, or a daemon refused the request
 )
 
 // exitError is an error with the exit code of the program.
--- a/command/daemon.go
+++ b/command/daemon.go
@@ -132,8 +132,8 @@
 }
 
 // runUntilDrained handles signals until SIGTERM or SIGINT, and then drains the daemon.
-// It returns when the daemon is drained, after DrainLimit, or at another of these two
-// signals.
+// It returns when the daemon is drained, after DrainLimit, or at a second SIGTERM or
+// SIGINT.
 func (pr Program[S]) runUntilDrained(sf *settingsFile[S], da Daemon) {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP, syscall.SIGUSR1)
@@ -151,6 +151,7 @@
 		case sg := <-signals:
 			switch sg {
 			case syscall.SIGHUP:
+				// A daemon that shuts down does not reload its settings.
 			case syscall.SIGUSR1:
 				writeDump(da)
 			default:
@@ -168,13 +169,13 @@
 func (pr Program[S]) handleSignals(signals <-chan os.Signal, sf *settingsFile[S], da Daemon) {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
-	sf.changed()
+	sf.changed() // records the modification time of the file that run was given
 	for {
 		select {
 		case sg := <-signals:
 			switch sg {
 			case syscall.SIGHUP:
-				sf.changed()
+				sf.changed() // keeps the ticker from reloading the same file again
 				sf.reload(da)
 			case syscall.SIGUSR1:
 				writeDump(da)
--- a/command/reload.go
+++ b/command/reload.go
@@ -24,7 +24,8 @@
 }
 
 // changed reports whether the file's modification time differs from the one at the
-// last check. A file that cannot be read counts as unchanged.
+// last check, and records it. A file without one, such as a missing file, counts as
+// unchanged.
 func (sf *settingsFile[S]) changed() bool {
 	fi, err := os.Stat(sf.path)
 	if err != nil || fi.ModTime().Equal(sf.modTime) {
@@ -34,8 +35,8 @@
 	return true
 }
 
-// reload loads the file and passes the settings to the daemon if it is a Reloader. If
-// the file has findings, the current settings stay.
+// reload loads the file and passes the settings to the daemon. If the file has findings
+// or the daemon is not a Reloader, the current settings stay.
 func (sf *settingsFile[S]) reload(da Daemon) {
 	se := sf.program.NewSettings()
 	if err := setting.Load(sf.path, se); err != nil {
