--- a/cmd/tanager-standin/platform.go
+++ b/cmd/tanager-standin/platform.go
@@ -43,6 +43,7 @@
 			if err := update(); err != nil {
 				return command.Exit(command.ExitFailed, err)
 			}
+			// After an error the list stays as it is, and the next tick tries again.
 			return serve(address, li.Handler(), func() { _ = update() })
 		},
 	}
--- a/cmd/tanagerctl/daemon.go
+++ b/cmd/tanagerctl/daemon.go
@@ -108,6 +108,7 @@
 			} else {
 				printBills(co.OutOrStdout(), li)
 			}
+			// Repeated bills are those of repeated requests, and no duplicates.
 			if duplicates := li.Stored - len(li.Bills) - len(li.Repeated); duplicates > 0 {
 				return command.Exit(command.ExitFailed, eris.Errorf("%d bills are stored more than once", duplicates))
 			}
@@ -118,14 +119,16 @@
 	return co
 }
 
+// printBills prints one bill a line. The resource of a bill is its service, or its
+// version if it has no service.
 func printBills(wr io.Writer, li bill.Listing) {
 	for _, bi := range li.Bills {
-		target := bi.GetVersion()
+		resource := bi.GetVersion()
 		if bi.GetService() != "" {
-			target = bi.GetService()
+			resource = bi.GetService()
 		}
 		_, _ = fmt.Fprintf(wr, "%s %s %s %s %s in=%d out=%d cost=%d %s\n", time.UnixMilli(bi.GetFinishedAtMs()).UTC().Format(time.RFC3339),
-			bi.GetId(), bi.GetOrganisation(), bi.GetRank(), target, bi.GetInputTokens(), bi.GetOutputTokens(), bi.GetCost(), bi.GetOutcome())
+			bi.GetId(), bi.GetOrganisation(), bi.GetRank(), resource, bi.GetInputTokens(), bi.GetOutputTokens(), bi.GetCost(), bi.GetOutcome())
 	}
 }
 
--- a/cmd/tanagerctl/record.go
+++ b/cmd/tanagerctl/record.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// indent formats JSON with one level of indentation and mark before each line.
+// indent formats JSON and puts four spaces and mark before each line.
 func indent(mark string, text []byte) string {
 	var sb strings.Builder
 	for line := range strings.Lines(string(pretty.Pretty(text))) {
--- a/cmd/tanagerctl/version.go
+++ b/cmd/tanagerctl/version.go
@@ -37,9 +37,9 @@
 	return co
 }
 
-// withdrawalRequest returns the request that withdraws version id. It also makes
-// stable the stable version of the model if id was, and aborts an active roll-out
-// from or to id. ChangedBy is left to the caller.
+// withdrawalRequest returns the request that withdraws version id. If id is the stable
+// version of its model, the request also replaces it there by the version stable. An
+// active roll-out from or to id is aborted. The caller sets ChangedBy.
 func withdrawalRequest(se *policy.Set, id, stable policy.VersionID) (configuration.Request, error) {
 	var rq configuration.Request
 	add := func(ki policy.Kind, id, path string, value any) error {
