--- a/standin/engine.go
+++ b/standin/engine.go
@@ -36,7 +36,8 @@
 	// TokenInterval is the time between tokens in an empty batch. It grows with
 	// the batch and is twice as long in a full one.
 	TokenInterval time.Duration
-	// LoadLag is the age of the load that the engine reports.
+	// LoadLag is the age of the load that the engine reports, counted from the last
+	// change of the load.
 	LoadLag time.Duration
 	// CachedPrefixes is the size of the prefix cache, which evicts the least
 	// recently used prefix.
@@ -68,8 +69,9 @@
 
 	mu sync.Mutex
 	// running is the number of occupied slots.
-	running     int
-	waiting     generationHeap
+	running int
+	waiting generationHeap
+	// generations are those that can be resumed or cancelled, by ID.
 	generations map[string]*generation
 	// retained lists the IDs in generations, oldest first.
 	retained    []string
@@ -79,7 +81,8 @@
 	prefixes []string
 	// maxFencingToken is the highest fencing token of an order carried out.
 	maxFencingToken int64
-	// loaded is false for a model that was unloaded.
+	// loaded holds the models that were ordered to be loaded, with false for one
+	// that was unloaded since. The engine runs requests for any model, loaded or not.
 	loaded map[string]bool
 	orders []Order
 }
@@ -101,6 +104,7 @@
 // generation is the answer to one request. The times of its tokens are fixed when
 // it starts.
 type generation struct {
+	// id is the ID of the attempt that the request belongs to.
 	id     string
 	model  string
 	prompt string
@@ -183,14 +187,14 @@
 	en.mu.Unlock()
 	last, err := strconv.Atoi(rq.Header.Get("Last-Event-ID"))
 	if ge == nil || err != nil {
-		http.Error(wr, "no such answer", http.StatusNotFound)
+		http.Error(wr, "no answer with this ID, or Last-Event-ID is not a number", http.StatusNotFound)
 		return
 	}
 	en.stream(wr, rq, ge, last)
 }
 
-// handleCancel ends a generation and frees its slot. One that still waits is not
-// removed from the queue.
+// handleCancel ends a generation and frees its slot. One that has no slot yet stays
+// in the queue, and later occupies a slot for its whole duration.
 func (en *Engine) handleCancel(_ http.ResponseWriter, rq *http.Request) {
 	en.mu.Lock()
 	ge := en.generations[rq.PathValue("id")]
@@ -218,6 +222,7 @@
 		delete(en.generations, en.retained[0])
 		en.retained = en.retained[1:]
 	}
+	// This is the number of generations enqueued before: each is in one of the two.
 	ge.sequence = len(en.runs) + len(en.waiting)
 	heap.Push(&en.waiting, ge)
 	en.startWaiting()
@@ -268,7 +273,8 @@
 	}
 }
 
-// reportedLoad returns the share of occupied slots as it was LoadLag ago.
+// reportedLoad returns the share of occupied slots as it was LoadLag before the last
+// change of the load. Time that passes without a change does not update it.
 func (en *Engine) reportedLoad() float64 {
 	en.mu.Lock()
 	defer en.mu.Unlock()
@@ -278,10 +284,11 @@
 	return float64(en.loadSamples[0].running) / float64(en.opt.Slots)
 }
 
-// lookupPrefix reports whether a prompt's prefix is in the cache, and makes it the
-// most recently used. The caller holds mu.
-func (en *Engine) lookupPrefix(prompt string) bool {
-	prefix := prompt[:min(len(prompt), prefixBytes)]
+// lookupPrefix reports whether the prefix of a text, a model's name and a prompt
+// joined, is in the cache. It adds a missing one, and makes it the most recently
+// used in either case. The caller holds mu.
+func (en *Engine) lookupPrefix(text string) bool {
+	prefix := text[:min(len(text), prefixBytes)]
 	for i, pr := range en.prefixes {
 		if pr == prefix {
 			en.prefixes = append(append(en.prefixes[:i:i], en.prefixes[i+1:]...), pr)
@@ -295,8 +302,9 @@
 	return false
 }
 
-// stream sends the events of a generation that follow the one with ID last, and
-// injects the faults of streams.
+// stream sends the events of a generation that follow the one with number last, all
+// if it is -1, and injects the faults of streams. It blocks until the generation has
+// a slot.
 func (en *Engine) stream(wr http.ResponseWriter, rq *http.Request, ge *generation, last int) {
 	select {
 	case <-ge.started:
@@ -347,8 +355,9 @@
 	}
 }
 
-// eventData returns the data of an event: first the tokens, then the finish
-// reason, the usage and the end marker.
+// eventData returns the data of the event with number ev. Events are numbered from
+// 0: one for each token, then the finish reason, the usage and the end marker. The
+// number is also the event's ID. id is the request's ID in the event.
 func (ge *generation) eventData(ev int, id string) string {
 	head := fmt.Sprintf(`{"id":"chatcmpl-%s","object":"chat.completion.chunk","created":%d,"model":%q`, id, ge.startedAt.Unix(), ge.model)
 	switch {
--- a/standin/fault.go
+++ b/standin/fault.go
@@ -2,6 +2,11 @@
 // services, for the demonstration and for tests. A test sets the faults of a
 // stand-in through its methods; those of all but Replica can also be set over
 // HTTP.
+//
+// The stand-ins belong to two platforms. Entries and stewards run on "the
+// platform", whose store has the etcd v3 JSON API. Routers run on "the users'
+// platform", whose store has an API of its own (Store.KVHandler) and whose
+// services run as replicas (Replica).
 package standin
 
 import (
@@ -23,12 +28,12 @@
 type Faults struct {
 	// Down aborts the connection of every request as soon as it arrives.
 	Down bool `json:"down"`
-	// Freeze accepts requests and never answers them.
+	// Freeze accepts requests but neither handles nor answers them.
 	Freeze bool `json:"freeze"`
 	// DelayMS is the time, in milliseconds, before a request is handled.
 	DelayMS int64 `json:"delay_ms"`
-	// LoseAnswers is the number of following writes that are carried out and
-	// whose connection is then aborted instead of a response.
+	// LoseAnswers is the number of following writes that are carried out but not
+	// answered: the connection is aborted instead.
 	LoseAnswers int `json:"lose_answers"`
 	// LateWrites is the number of following writes whose connection is aborted at
 	// once and that are carried out LateMS milliseconds later, when the client no
--- a/standin/kv.go
+++ b/standin/kv.go
@@ -85,8 +85,9 @@
 	return st.pairs[key].kv.Value
 }
 
-// Compact drops the history. A watch of the users' platform that asks for events
-// before now, also one that waits already, gets status 410 (Gone).
+// Compact drops the history of events. A watch through KVHandler that continues from
+// an earlier revision, also one that waits already, gets status 410 (Gone). A watch
+// through Handler is not told of it.
 func (st *Store) Compact() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -95,6 +96,9 @@
 	st.changed = make(chan struct{})
 }
 
+// handleKVRange responds with the pairs whose keys begin with prefix and come after
+// the key after, in the order of the keys. MorePages is true if more than kvPageSize
+// match.
 func (st *Store) handleKVRange(wr http.ResponseWriter, rq *http.Request) {
 	qu := rq.URL.Query()
 	st.mu.Lock()
@@ -115,13 +119,13 @@
 }
 
 // handleKVWatch answers a long poll: it responds as soon as there are events after
-// a revision, and without events after wait_ms.
+// the revision after, or without events when wait_ms have passed.
 func (st *Store) handleKVWatch(wr http.ResponseWriter, rq *http.Request) {
 	qu := rq.URL.Query()
 	after, err := strconv.ParseInt(qu.Get("after"), 10, 64)
 	wait, err2 := strconv.ParseInt(qu.Get("wait_ms"), 10, 64)
 	if err != nil || err2 != nil {
-		http.Error(wr, "after and wait_ms are whole numbers", http.StatusBadRequest)
+		http.Error(wr, "after and wait_ms must be whole numbers", http.StatusBadRequest)
 		return
 	}
 	st.mu.Lock()
@@ -151,7 +155,7 @@
 }
 
 // eventsAfter returns the events of a prefix after a revision, and a channel that is
-// closed when there may be more. compacted is true if some of them were dropped.
+// closed when there may be more. compacted is true if Compact dropped some of them.
 func (st *Store) eventsAfter(prefix string, after int64) (re kvResponse, changed chan struct{}, compacted bool) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
--- a/standin/plain.go
+++ b/standin/plain.go
@@ -16,7 +16,8 @@
 type Plain struct {
 	FaultInjector
 
-	delay     time.Duration
+	delay time.Duration
+	// mu guards runCounts.
 	mu        sync.Mutex
 	runCounts map[string]int
 }
--- a/standin/rating.go
+++ b/standin/rating.go
@@ -17,7 +17,8 @@
 	FaultInjector
 
 	lag time.Duration
-	mu  sync.Mutex
+	// mu guards the fields below it.
+	mu sync.Mutex
 	// quality is the true quality by version, from 0 to 1.
 	quality map[string]float64
 	ratings []delayedRating
@@ -77,9 +78,9 @@
 	after, _ := strconv.ParseInt(rq.URL.Query().Get("after"), 10, 64)
 	out := []rating.Rating{}
 	ra.mu.Lock()
-	for _, la := range ra.ratings {
-		if la.rating.Sequence > after && !time.Now().Before(la.visibleAt) {
-			out = append(out, la.rating)
+	for _, dr := range ra.ratings {
+		if dr.rating.Sequence > after && !time.Now().Before(dr.visibleAt) {
+			out = append(out, dr.rating)
 		}
 	}
 	ra.mu.Unlock()
--- a/standin/replica.go
+++ b/standin/replica.go
@@ -35,7 +35,7 @@
 	// CutAfter, if not 0, is the number of events after which a stream is aborted in
 	// the middle of the next one.
 	CutAfter int
-	// Silent makes the replica run requests and never answer them.
+	// Silent makes the replica run requests but never answer them.
 	Silent bool
 	// OtherRequestID, if not empty, replaces the request's ID in responses.
 	OtherRequestID string
@@ -96,6 +96,8 @@
 func (re *Replica) Handler() http.Handler { return http.HandlerFunc(re.serve) }
 
 func (re *Replica) serve(wr http.ResponseWriter, rq *http.Request) {
+	// ReplicaRun.Body gets only what one Read returns: the rest of a longer body is
+	// zero bytes, and a body without Content-Length is empty.
 	body := make([]byte, max(0, rq.ContentLength))
 	if _, err := rq.Body.Read(body); err != nil && len(body) == 0 {
 		body = nil
--- a/standin/store.go
+++ b/standin/store.go
@@ -48,7 +48,8 @@
 	lease int64
 }
 
-// storedLease is a lease; ttl is in seconds.
+// storedLease is a lease. ttl is in whole seconds: a lease of KVHandler, whose time to
+// live is in milliseconds, is renewed for that time rounded down.
 type storedLease struct {
 	ttl       int64
 	expiresAt time.Time
@@ -137,7 +138,7 @@
 }
 
 // runTxn carries out a transaction; its changes get the current revision. The
-// caller holds mu, as for all methods below that take no lock.
+// caller holds mu.
 func (st *Store) runTxn(tx store.WireTxn) store.WireTxnResponse {
 	rs := store.WireTxnResponse{Header: store.WireHeader{Revision: st.revision}, Succeeded: true}
 	for _, cm := range tx.Compare {
@@ -155,6 +156,7 @@
 	return rs
 }
 
+// runOp carries out an operation of a transaction. The caller holds mu.
 func (st *Store) runOp(op store.WireOp) store.WireOpResponse {
 	switch {
 	case op.Range != nil:
@@ -173,6 +175,7 @@
 	return store.WireOpResponse{}
 }
 
+// put sets a value at the current revision, and adds the event. The caller holds mu.
 func (st *Store) put(pu store.WirePut) {
 	key := string(pu.Key)
 	kv := store.WireKeyValue{Key: pu.Key, Value: pu.Value, CreateRevision: st.pairs[key].kv.CreateRevision, ModRevision: st.revision}
@@ -183,11 +186,15 @@
 	st.events = append(st.events, store.WireEvent{Kv: kv})
 }
 
+// remove deletes a key at the current revision, and adds the event. The caller holds
+// mu.
 func (st *Store) remove(key string) {
 	delete(st.pairs, key)
 	st.events = append(st.events, store.WireEvent{Type: "DELETE", Kv: store.WireKeyValue{Key: []byte(key), ModRevision: st.revision}})
 }
 
+// findRange returns the pairs of a range in the order of their keys. The caller holds
+// mu.
 func (st *Store) findRange(rg store.WireRange) store.WireRangeResponse {
 	rs := store.WireRangeResponse{Header: store.WireHeader{Revision: st.revision}}
 	for key, pa := range st.pairs {
@@ -199,6 +206,8 @@
 	return rs
 }
 
+// inRange reports whether a key lies in a range, which includes from but not end. An
+// empty end selects only the key from.
 func inRange(key string, from, end []byte) bool {
 	if len(end) == 0 {
 		return key == string(from)
@@ -206,7 +215,7 @@
 	return key >= string(from) && key < string(end)
 }
 
-// revokeExpired revokes the leases that have expired.
+// revokeExpired revokes the leases that have expired. The caller holds mu.
 func (st *Store) revokeExpired() {
 	eventsBefore := len(st.events)
 	for id, le := range st.leases {
@@ -218,7 +227,7 @@
 }
 
 // revokeLease ends a lease and deletes the pairs that are bound to it, each at a
-// revision of its own.
+// revision of its own. The caller holds mu, and calls notifyWatches afterwards.
 func (st *Store) revokeLease(id int64) {
 	delete(st.leases, id)
 	for key, pa := range st.pairs {
@@ -230,7 +239,7 @@
 }
 
 // notifyWatches wakes the waiting watches if there are more events than
-// eventsBefore.
+// eventsBefore. The caller holds mu.
 func (st *Store) notifyWatches(eventsBefore int) {
 	if len(st.events) > eventsBefore {
 		close(st.changed)
@@ -307,6 +316,8 @@
 	writeJSON(wr, store.WireLease{ID: id, TTL: gr.TTL})
 }
 
+// handleKeepAlive renews a lease. If there is none with the ID, the response has no TTL,
+// which counts as 0.
 func (st *Store) handleKeepAlive(wr http.ResponseWriter, rq *http.Request) {
 	var le store.WireLease
 	if !readJSON(wr, rq, &le) {
--- a/standin/vmlist.go
+++ b/standin/vmlist.go
@@ -56,7 +56,8 @@
 	return li.Wrap(mu)
 }
 
-// targetGroups applies the changes that are due and returns the list.
+// targetGroups applies the changes that are due and returns the list, in the format of
+// Prometheus HTTP service discovery.
 func (li *VMList) targetGroups() []vm.TargetGroup {
 	li.mu.Lock()
 	defer li.mu.Unlock()
--- a/standin/weights.go
+++ b/standin/weights.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Weights simulates the rate-limited weight store. Its methods may be called
-// concurrently.
+// Weights simulates the platform's store of model weights, which limits the rate of
+// reads. Its methods may be called concurrently.
 type Weights struct {
 	FaultInjector
 
