--- a/measure/address.go
+++ b/measure/address.go
@@ -14,9 +14,9 @@
 const (
 	addressCallers = 400
 	addressEntries = 8
-	// addressKeep is how long a caller uses the addresses of one answer.
+	// addressKeep is how long a caller uses the addresses of one address answer.
 	addressKeep = 2 * time.Second
-	// failureDetection is how long a failed entry stays in the answers.
+	// failureDetection is how long a failed entry stays in the address answers.
 	failureDetection = 2 * time.Second
 	// requestInterval is the shortest time between requests of a caller; each
 	// caller adds up to 50 ms to it.
@@ -55,8 +55,8 @@
 	return n%2 == 0 && ar.elapsed() > entriesStopAt && ar.elapsed() < entriesRestartAt
 }
 
-// resolve returns the entries in the order of an answer to a caller in a random
-// failure domain.
+// resolve returns the entries of an address answer to a caller in a random failure
+// domain, in the order of the answer.
 func (ar *addressRun) resolve() []int {
 	var cas []directory.Candidate
 	for n := range addressEntries {
@@ -78,7 +78,8 @@
 }
 
 // startCaller starts a caller that sends its requests to the first address of its
-// answer. It asks for a new answer when addressKeep has passed or the entry is down.
+// address answer. It asks for a new answer when addressKeep has passed or a request
+// went to an entry that is down; that request is not repeated.
 func (ar *addressRun) startCaller() {
 	var addresses []int
 	var until time.Time
@@ -98,7 +99,7 @@
 	})
 }
 
-// run runs the simulation. Requests are counted only from entriesStopAt on.
+// run runs the simulation. counts holds only requests from entriesStopAt on.
 func (ar *addressRun) run() {
 	for range addressCallers {
 		ar.startCaller()
--- a/measure/cascade.go
+++ b/measure/cascade.go
@@ -26,17 +26,18 @@
 // workload is a mix of three kinds of work, and the true quality of three models
 // for each of them.
 type workload struct {
-	works []cascade.WorkKind
+	kinds []cascade.WorkKind
 	// kindShares are the shares of the kinds in the requests.
 	kindShares []float64
-	arms       []cascade.Arm
+	// arms are the models that a request can go to, cheapest first.
+	arms []cascade.Arm
 	// quality is the true quality by kind and arm.
 	quality [][]float64
 }
 
 func newWorkload() *workload {
 	return &workload{
-		works:      []cascade.WorkKind{"ledger summary", "condition note", "folio tag"},
+		kinds:      []cascade.WorkKind{"ledger summary", "condition note", "folio tag"},
 		kindShares: []float64{0.4, 0.3, 0.3},
 		arms: []cascade.Arm{
 			{Model: "small", Version: "small-1", Cost: 10, Quality: 0.8},
@@ -100,7 +101,8 @@
 	return rs
 }
 
-// kind returns the kind of work at a point from 0 to 1 of the distribution.
+// kind maps a point from 0 to 1 to a kind of work, so that evenly distributed points
+// give the kinds in their shares.
 func (wl *workload) kind(point float64) int {
 	for k, share := range wl.kindShares {
 		if point -= share; point < 0 {
@@ -138,13 +140,13 @@
 // used in production.
 func (wl *workload) productionChooser(seed uint64) (armChooser, func(kind, arm int, quality float64)) {
 	ch := cascade.NewChooser(seed)
-	choose := func(kind int) int { return ch.Choose(wl.works[kind], wl.arms, qualityTarget).Index }
-	rate := func(kind, arm int, quality float64) { ch.AddRating(wl.works[kind], wl.arms[arm].Version, quality) }
+	choose := func(kind int) int { return ch.Choose(wl.kinds[kind], wl.arms, qualityTarget).Index }
+	rate := func(kind, arm int, quality float64) { ch.AddRating(wl.kinds[kind], wl.arms[arm].Version, quality) }
 	return choose, rate
 }
 
 // fixedThreshold returns the cheapest arm whose configured quality reaches the
-// target.
+// target, or the most expensive arm if none does.
 func (wl *workload) fixedThreshold(int) int {
 	for i, ar := range wl.arms {
 		if ar.Quality >= qualityTarget {
@@ -157,9 +159,9 @@
 // measureCascade measures the cost at the quality target.
 func measureCascade(seed uint64) Row {
 	wl := newWorkload()
-	per := func(rs result) (cost, quality float64) { return rs.cost / cascadeRequests, rs.quality }
+	means := func(rs result) (cost, quality float64) { return rs.cost / cascadeRequests, rs.quality }
 	choose, rate := wl.productionChooser(seed)
-	cost, quality := per(wl.run(seed, choose, rate, noChange))
+	cost, quality := means(wl.run(seed, choose, rate, noChange))
 	best := wl.bestFixedCost()
 	baselines := ""
 	cheapestOnTarget := math.Inf(1)
@@ -171,7 +173,7 @@
 		{"always cheapest", func(int) int { return 0 }},
 		{"fixed threshold", wl.fixedThreshold},
 	} {
-		co, qu := per(wl.run(seed, ba.choose, noRatings, noChange))
+		co, qu := means(wl.run(seed, ba.choose, noRatings, noChange))
 		baselines += fmt.Sprintf("%s %.1f at %.3f; ", ba.name, co, qu)
 		if qu >= qualityTarget {
 			cheapestOnTarget = min(cheapestOnTarget, co)
@@ -240,21 +242,23 @@
 	return -1
 }
 
-// measureModelRemoval measures the same after a model has been removed.
+// measureModelRemoval measures how many ratings it takes to reach the target again
+// after a model has been removed.
 func measureModelRemoval(seed uint64) Row {
 	wl := newWorkload()
 	const at = cascadeRequests / 2
 	gone := false
 	// After the removal of the middle model the chooser sees only the other two.
-	remaining := &workload{works: wl.works, arms: []cascade.Arm{wl.arms[0], wl.arms[2]}}
+	remaining := &workload{kinds: wl.kinds, arms: []cascade.Arm{wl.arms[0], wl.arms[2]}}
 	ch := cascade.NewChooser(seed)
 	rs := wl.run(seed, func(kind int) int {
 		if gone {
-			return 2 * ch.Choose(remaining.works[kind], remaining.arms, qualityTarget).Index
+			// Arms 0 and 1 of remaining are arms 0 and 2 of wl.
+			return 2 * ch.Choose(remaining.kinds[kind], remaining.arms, qualityTarget).Index
 		}
-		return ch.Choose(wl.works[kind], wl.arms, qualityTarget).Index
+		return ch.Choose(wl.kinds[kind], wl.arms, qualityTarget).Index
 	}, func(kind, arm int, quality float64) {
-		ch.AddRating(wl.works[kind], wl.arms[arm].Version, quality)
+		ch.AddRating(wl.kinds[kind], wl.arms[arm].Version, quality)
 	}, func(i int) { gone = i >= at })
 	regained := rs.regained(at)
 	return Row{
@@ -263,8 +267,8 @@
 	}
 }
 
-// measureStoppedRatings measures the cost after ratings have stopped, against the
-// cost before.
+// measureStoppedRatings measures the mean cost per request after ratings have stopped,
+// against that in the second half of the requests before.
 func measureStoppedRatings(seed uint64) Row {
 	wl := newWorkload()
 	const at = cascadeRequests / 2
@@ -276,12 +280,12 @@
 		}
 	}, func(i int) { stopped = i >= at })
 	before, after := 0.0, 0.0
-	for i, se := range rs.perRequest {
+	for i, re := range rs.perRequest {
 		switch {
 		case i >= at/2 && i < at:
-			before += se.cost / (at / 2)
+			before += re.cost / (at / 2)
 		case i >= at:
-			after += se.cost / at
+			after += re.cost / at
 		}
 	}
 	return Row{
--- a/measure/clock.go
+++ b/measure/clock.go
@@ -1,7 +1,7 @@
-// Package measure runs the decision code in simulations with virtual time, fixed
-// seeds and the sizes of the two deployments, and compares it with simpler
-// baselines. Simulated are the clock, the requests and replicas with a number of
-// slots each.
+// Package measure runs the decision code of production in simulations with virtual
+// time, fixed seeds and the sizes of the two deployments, and compares it with simpler
+// baselines. The clock, the requests and the replicas are simulated; a replica has a
+// number of slots, each of which runs one request at a time.
 package measure
 
 import (
@@ -33,7 +33,7 @@
 	heap.Push(&el.events, event{at: el.now.Add(wait), sequence: el.sequence, run: fn})
 }
 
-// every runs fn after each interval, for as long as the loop runs.
+// every runs fn at the end of each interval, without end.
 func (el *eventLoop) every(interval time.Duration, fn func()) {
 	el.after(interval, func() {
 		fn()
--- a/measure/exposure.go
+++ b/measure/exposure.go
@@ -13,10 +13,10 @@
 	rolloutRuns = 400
 	// maxExposed bounds the answers by the candidate in one roll-out.
 	maxExposed = 5000
-	// baselineAnswers is the number of answers of the version in use before the
-	// roll-out, baselinePerAnswer the number for each answer of the candidate.
-	baselineAnswers   = 500
-	baselinePerAnswer = 4
+	// stableAnswers is the number of answers by the version in use before the
+	// roll-out, stablePerCandidate their number for each answer by the candidate.
+	stableAnswers      = 500
+	stablePerCandidate = 4
 	// fixedWindow is the window of the baseline detector, in answers.
 	fixedWindow = 200
 )
@@ -24,34 +24,35 @@
 // defect is how a candidate differs from the version in use.
 type defect struct {
 	name string
-	// failed and slow are added to the probabilities, quality to the mean quality.
+	// failed and slow are added to the probabilities of the version in use, quality to
+	// its mean quality.
 	failed  float64
 	slow    float64
 	quality float64
 }
 
-// The version in use fails and is slow with these probabilities. Its answers have
-// this mean quality, and take baselineSeconds to the first token, give or take 30%,
-// or slowSeconds if they are slow.
+// The version in use, which the names call stable as package rollout does, fails and
+// is slow with these probabilities. Its answers have this mean quality, and take
+// stableSeconds to the first token, give or take 30%, or slowSeconds if they are slow.
 const (
-	baselineFailed  = 0.005
-	baselineSlow    = 0.03
-	baselineQuality = 0.82
-	slowSeconds     = 1.2
-	baselineSeconds = 0.2
+	stableFailed  = 0.005
+	stableSlow    = 0.03
+	stableQuality = 0.82
+	slowSeconds   = 1.2
+	stableSeconds = 0.2
 )
 
 // sampleAnswer returns the outcome and the rating of a random answer of a version
 // with a defect.
 func sampleAnswer(rng *rand.Rand, df defect) (rollout.Outcome, float64) {
-	ou := rollout.Outcome{FirstToken: baselineSeconds * (0.7 + 0.6*rng.Float64())}
-	if rng.Float64() < baselineSlow+df.slow {
+	ou := rollout.Outcome{FirstToken: stableSeconds * (0.7 + 0.6*rng.Float64())}
+	if rng.Float64() < stableSlow+df.slow {
 		ou.FirstToken = slowSeconds
 	}
-	if rng.Float64() < baselineFailed+df.failed {
+	if rng.Float64() < stableFailed+df.failed {
 		ou = rollout.Outcome{Failed: true}
 	}
-	return ou, min(1, max(0, baselineQuality+df.quality+rng.NormFloat64()*ratingNoise))
+	return ou, min(1, max(0, stableQuality+df.quality+rng.NormFloat64()*ratingNoise))
 }
 
 // detector decides when to stop the roll-out of a candidate.
@@ -64,35 +65,37 @@
 
 // sequential is the detector that is used in production.
 type sequential struct {
-	guard   rollout.HealthTest
+	health  rollout.HealthTest
 	quality *rollout.QualityTest
 }
 
 func newSequential() detector {
-	return &sequential{quality: rollout.NewQualityTest(baselineQuality, 0.02)}
+	return &sequential{quality: rollout.NewQualityTest(stableQuality, 0.02)}
 }
 
 func (se *sequential) addStable(ou rollout.Outcome, quality float64) {
-	se.guard.Stable(ou)
+	se.health.Stable(ou)
 	if !ou.Failed {
 		se.quality.Stable(quality)
 	}
 }
 
 func (se *sequential) addCandidate(ou rollout.Outcome, quality float64) bool {
-	se.guard.Candidate(ou)
+	se.health.Candidate(ou)
 	if !ou.Failed {
 		se.quality.Candidate(quality)
 	}
-	return se.guard.RejectionReason() != "" || se.quality.Rejects()
+	return se.health.RejectionReason() != "" || se.quality.Rejects()
 }
 
-// windowed is the baseline: it compares each full window of the candidate's answers
-// with all answers of the version in use, with the margins of sequential.
+// windowed is the baseline detector: it compares each full window of the candidate's
+// answers with all answers of the version in use, with the margins of sequential.
 type windowed struct {
-	baseline, window outcomeSums
+	stable, window outcomeSums
 }
 
+// outcomeSums are the numbers of answers, of failed ones and of slow ones, and the sum
+// of the quality of those that did not fail.
 type outcomeSums struct{ n, failed, slow, quality float64 }
 
 func newWindowed() detector { return &windowed{} }
@@ -103,29 +106,29 @@
 		su.failed++
 		return
 	}
-	if ou.FirstToken > 3*baselineSeconds {
+	if ou.FirstToken > 3*stableSeconds {
 		su.slow++
 	}
 	su.quality += quality
 }
 
-func (wi *windowed) addStable(ou rollout.Outcome, quality float64) { wi.baseline.add(ou, quality) }
+func (wi *windowed) addStable(ou rollout.Outcome, quality float64) { wi.stable.add(ou, quality) }
 
 func (wi *windowed) addCandidate(ou rollout.Outcome, quality float64) bool {
 	wi.window.add(ou, quality)
 	if wi.window.n < fixedWindow {
 		return false
 	}
-	wo, ba := wi.window, wi.baseline
+	wo, st := wi.window, wi.stable
 	wi.window = outcomeSums{}
-	worse := func(rate, baseline, margin float64) bool {
+	worse := func(rate, stableRate, margin float64) bool {
 		const deviations = 3
-		return rate > baseline+margin+deviations*math.Sqrt(max(baseline, 0.005)/wo.n)
+		return rate > stableRate+margin+deviations*math.Sqrt(max(stableRate, 0.005)/wo.n)
 	}
 	answers := max(1, wo.n-wo.failed)
-	qualityLoss := ba.quality/(ba.n-ba.failed) - wo.quality/answers
-	return worse(wo.failed/wo.n, ba.failed/ba.n, 0.01) ||
-		worse(wo.slow/wo.n, ba.slow/ba.n, 0.05) ||
+	qualityLoss := st.quality/(st.n-st.failed) - wo.quality/answers
+	return worse(wo.failed/wo.n, st.failed/st.n, 0.01) ||
+		worse(wo.slow/wo.n, st.slow/st.n, 0.05) ||
 		qualityLoss > 0.02+3*ratingNoise/math.Sqrt(answers)
 }
 
@@ -136,7 +139,7 @@
 	rng := rand.New(rand.NewPCG(seed, 3))
 	for range rolloutRuns {
 		de := newDetector()
-		for range baselineAnswers {
+		for range stableAnswers {
 			de.addStable(sampleAnswer(rng, defect{}))
 		}
 		n := 0
@@ -146,7 +149,7 @@
 				stopped++
 				break
 			}
-			for range baselinePerAnswer {
+			for range stablePerCandidate {
 				de.addStable(sampleAnswer(rng, defect{}))
 			}
 		}
--- a/measure/fleet.go
+++ b/measure/fleet.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// maxAnswerMeans bounds the length of an answer, as a multiple of the mean.
-	maxAnswerMeans = 4
+	// maxLengthRatio bounds the ratio of an answer's length to the mean length.
+	maxLengthRatio = 4
 	// prefill is the time from the start of a job to its first token.
 	prefill = 150 * time.Millisecond
 	// perToken is the time between tokens in a full batch.
@@ -42,8 +42,8 @@
 	savannah = site{name: "Savannah Lane tt-south", entries: 8, replicas: 10, slots: 12}
 )
 
-// rate returns the rate of requests, per second, whose answers of a mean length
-// in tokens take up a multiple of the site's capacity.
+// rate returns the number of requests per second that cause a load, which is a
+// multiple of the site's capacity. tokens is the mean length of their answers.
 func (st site) rate(load, tokens float64) float64 {
 	return load * float64(st.replicas*st.slots) / serviceTime(tokens).Seconds()
 }
@@ -126,9 +126,11 @@
 
 // stream is a Poisson stream of requests of one organisation and rank.
 type stream struct {
-	org   policy.OrganisationID
+	org policy.OrganisationID
+	// share is the organisation's weight in fair sharing; less than 1 counts as 1.
 	share float64
 	rank  policy.RankID
+	// order is that of the rank: 0 is the most urgent.
 	order int64
 	// rate is in requests per second.
 	rate float64
@@ -148,22 +150,22 @@
 		return
 	}
 	started := fl.now
-	var arrive func()
-	arrive = func() {
+	var scheduleNext func()
+	scheduleNext = func() {
 		wait := time.Duration(fl.rng.ExpFloat64() / sm.rate * float64(time.Second))
 		fl.after(wait, func() {
 			if sm.until == 0 || fl.now.Sub(started) < sm.until {
 				fl.arrive(sm)
-				arrive()
+				scheduleNext()
 			}
 		})
 	}
-	fl.after(sm.from, arrive)
+	fl.after(sm.from, scheduleNext)
 }
 
 // arrive offers a new job of a stream to the queue of an entry.
 func (fl *fleet) arrive(sm stream) {
-	tokens := math.Ceil(math.Min(maxAnswerMeans*sm.tokens, fl.rng.ExpFloat64()*sm.tokens))
+	tokens := math.Ceil(math.Min(maxLengthRatio*sm.tokens, fl.rng.ExpFloat64()*sm.tokens))
 	jo := &job{
 		org: sm.org, share: max(1, sm.share), rank: sm.rank, order: sm.order, tokens: tokens, expectedTokens: sm.tokens,
 		arrived: fl.now, deadline: fl.now.Add(sm.timeLimit), entry: fl.rng.IntN(len(fl.queues)),
--- a/measure/load.go
+++ b/measure/load.go
@@ -31,7 +31,7 @@
 }
 
 // runStreams runs a fleet under streams of requests. It returns the fleet at the
-// end, and the time from which it counts.
+// end, and the time at which the warm-up ended and the measurement began.
 func runStreams(st site, seed uint64, newScheduler func(fl *fleet) scheduler, sms ...stream) (*fleet, time.Time) {
 	fl := newFleet(st, seed, newScheduler)
 	for _, sm := range sms {
--- a/measure/placement.go
+++ b/measure/placement.go
@@ -13,7 +13,8 @@
 )
 
 const (
-	// reportLag is the age of the load that a replica reports.
+	// reportLag is the age of the load that a replica reports, counted from the last
+	// change of the load.
 	reportLag = 2 * time.Second
 	// prefixCount is the number of different prompt prefixes, cachedPrefixes the
 	// size of a replica's prefix cache.
@@ -40,8 +41,8 @@
 
 // loadSample is the number of requests running or waiting from a time on.
 type loadSample struct {
-	at      time.Time
-	running int
+	at   time.Time
+	load int
 }
 
 // recordLoad adds a sample of the load and drops those that reportedLoad does not
@@ -53,8 +54,8 @@
 	}
 }
 
-// lookupPrefix reports whether a prefix is in the cache, and makes it the most
-// recently used.
+// lookupPrefix reports whether a prefix is in the cache. It adds a missing one, and
+// makes it the most recently used in either case.
 func (en *simulatedEngine) lookupPrefix(prefix int) bool {
 	i := slices.Index(en.cache, prefix)
 	if i >= 0 {
@@ -93,17 +94,17 @@
 	}
 	choose := newChooser(pr)
 	rate := placementLoad * float64(len(pr.engines)*pr.slots) / serviceTime(placementTokens).Seconds()
-	var arrive func()
-	arrive = func() {
+	var scheduleNext func()
+	scheduleNext = func() {
 		pr.after(time.Duration(pr.rng.ExpFloat64()/rate*float64(time.Second)), func() {
 			// A few prefixes are requested more often than the rest.
 			prefix := int(float64(prefixCount) * math.Pow(pr.rng.Float64(), 2))
 			replica, onEnd := choose(pr.rng.IntN(8), prefix)
 			pr.send(replica, prefix, onEnd)
-			arrive()
+			scheduleNext()
 		})
 	}
-	arrive()
+	scheduleNext()
 	pr.run(placementLength)
 	return pr
 }
@@ -198,12 +199,14 @@
 	return max(1, 100-100*en.reportedLoad()/slots)
 }
 
-// reportedLoad returns the number of requests running or waiting reportLag ago.
+// reportedLoad returns the number of requests running or waiting as it was reportLag
+// before the last change of the load. Time that passes without a change does not
+// update it.
 func (en *simulatedEngine) reportedLoad() int {
 	if len(en.loadSamples) == 0 {
 		return 0
 	}
-	return en.loadSamples[0].running
+	return en.loadSamples[0].load
 }
 
 // perfectAffinity sends all requests with a prefix to the same replica.
@@ -239,7 +242,8 @@
 	}
 }
 
-// snapshot returns the requests in flight of each entry, by endpoint.
+// snapshot returns, for each entry's tracker, the number of requests in flight by
+// endpoint.
 func snapshot(trs []*placement.Tracker) []map[policy.EndpointID]int {
 	all := make([]map[policy.EndpointID]int, len(trs))
 	for n, tr := range trs {
@@ -248,7 +252,8 @@
 	return all
 }
 
-// shareInFlight tells each tracker the sum of what the others had in flight.
+// shareInFlight tells each tracker how many requests the others had in flight at each
+// endpoint. all is the snapshot.
 func shareInFlight(now time.Time, trs []*placement.Tracker, all []map[policy.EndpointID]int) {
 	for n, tr := range trs {
 		others := map[policy.EndpointID]int{}
--- a/measure/retry.go
+++ b/measure/retry.go
@@ -56,7 +56,8 @@
 }
 
 // run runs the simulation. attempt makes one attempt at a request, and reports
-// whether it failed and whether there may be another.
+// whether it failed and whether there may be another. try counts the attempts from 0.
+// tried is where attempt can keep the replicas that the request was sent to.
 func (rr *retryRun) run(attempt func(try int, tried *[]policy.EndpointID) (failed, more bool)) {
 	for at := time.Duration(0); at < retryRunLength; at += time.Duration(rr.rng.ExpFloat64() / requestRate * float64(time.Second)) {
 		rr.eventLoop.run(at - rr.elapsed())
--- a/measure/scheduler.go
+++ b/measure/scheduler.go
@@ -42,7 +42,7 @@
 	offer(now time.Time, jo *job)
 	// next returns the jobs that start now.
 	next(now time.Time) []*job
-	// done ends a job that was started.
+	// done tells the queue that a job that it started has ended.
 	done(now time.Time, jo *job)
 	// setCapacity sets the number of slots that the queue may use.
 	setCapacity(now time.Time, slots float64)
@@ -58,6 +58,8 @@
 	refused func(jo *job)
 }
 
+// newProductionQueue returns a queue with the ranks of the example policy. dither is
+// that of admission.NewQueue, from 0 to 1.
 func newProductionQueue(now time.Time, dither float64, refused func(jo *job)) *productionQueue {
 	qu := admission.NewQueue(now, 1024, dither)
 	qu.SetRanks(ranks())
@@ -117,7 +119,8 @@
 	return float64(running + waiting)
 }
 
-// baselineQueue is a baseline: a list of waiting jobs in the order of less.
+// baselineQueue is a simpler queue to compare with: a list of waiting jobs in the order
+// of less.
 type baselineQueue struct {
 	less func(a, b *job) bool
 	// maxWaiting bounds the waiting jobs, maxOrgShare the part of the capacity that
