--- a/testsite/caller.go
+++ b/testsite/caller.go
@@ -43,9 +43,12 @@
 // Call describes a caller's request. The zero value asks entry-1 for an answer of
 // model "m" that is not streamed, with the key CallerKey.
 type Call struct {
-	Entry  int
-	Model  string
-	Key    string
+	// Entry is the number of the entry: 2 for entry-2.
+	Entry int
+	Model string
+	// Key is the caller's API key.
+	Key string
+	// Tokens is the value of max_tokens, 4 if it is 0.
 	Tokens int
 	Prompt string
 	Stream bool
@@ -72,8 +75,9 @@
 	return si.send(ca, http.MethodPost, "/v1/chat/completions", body)
 }
 
-// Checkout sends a check-out to the service "desk" through an entry. Without an
-// idempotencyKey the header is left out.
+// Checkout sends a call to the service "desk" through an entry, with the path
+// /checkout. It sets the header Idempotency-Key in ca.Header, unless idempotencyKey
+// is "".
 func (si *Site) Checkout(ca Call, method, idempotencyKey, body string) Answer {
 	if ca.Header == nil {
 		ca.Header = map[string]string{}
@@ -171,7 +175,7 @@
 	return out
 }
 
-// Bills returns the sealed bills that are in the store.
+// Bills returns the bills in the sealed batches that are in the store.
 func (si *Site) Bills() bill.Listing {
 	cl := si.Client(Operator)
 	defer cl.Close()
@@ -184,7 +188,7 @@
 	return li
 }
 
-// State returns the state dump of entry-N.
+// State returns the state dump of entry-N, which must be running.
 func (si *Site) State(n int) entry.State {
 	return si.Entries[EntryName(n)].Dump().(entry.State)
 }
--- a/testsite/network.go
+++ b/testsite/network.go
@@ -30,7 +30,8 @@
 	bytesSent map[Host]int64
 }
 
-// link identifies the connections that a host opens to an address.
+// link identifies the connections that the host from opens to the address to. Those
+// that the other host opens belong to another link.
 type link struct {
 	from Host
 	to   string
@@ -44,7 +45,8 @@
 	}
 }
 
-// ForHost returns the functions with which a host listens and dials.
+// ForHost returns the functions with which a host listens and dials. Dialling fails
+// while the host is killed or the link is cut.
 func (nw *Network) ForHost(ho Host) network.Network {
 	return network.Network{
 		Listen: func(address string) (net.Listener, error) { return nw.listen(ho, address) },
@@ -153,7 +155,7 @@
 	refused := !ok || nw.killed[from] || nw.cut[link{from, address}]
 	nw.mu.Unlock()
 	if refused {
-		return nil, eris.Errorf("dial %s: connection refused", address)
+		return nil, eris.Errorf("dial %s: connection refused: no listener, killed host or cut link", address)
 	}
 	clientEnd, serverEnd := net.Pipe()
 	cs := &connState{}
@@ -170,7 +172,7 @@
 	}
 	_ = client.Close()
 	_ = server.Close()
-	return nil, eris.Errorf("dial %s: connection refused", address)
+	return nil, eris.Errorf("dial %s: listener closed or context done before the connection was accepted", address)
 }
 
 // listener accepts connections that Network.dial opens.
@@ -214,7 +216,7 @@
 func (ad address) Network() string { return "memory" }
 func (ad address) String() string  { return string(ad) }
 
-// connState is shared by the two ends of a connection.
+// connState is shared by the two ends of a connection; mu guards blackholed.
 type connState struct {
 	mu         sync.Mutex
 	blackholed bool
@@ -237,7 +239,7 @@
 	co.state.blackholed = true
 }
 
-// Write reports success without sending anything after Blackhole.
+// Write implements net.Conn. After Blackhole it reports success but sends nothing.
 func (co *conn) Write(buf []byte) (int, error) {
 	co.state.mu.Lock()
 	dropped := co.state.blackholed
--- a/testsite/routers.go
+++ b/testsite/routers.go
@@ -21,9 +21,10 @@
 	"tanagerpoint.example/tanager/worker"
 )
 
-// The address of the store of the users' platform, and the names in its default
-// configuration. The constants of routes are path prefixes under RouteHost; those of
-// models are the sizes that the engine route may use.
+// The address of the store of the users' platform, and the names in the configuration
+// that the operator writes there by default. EngineRoute, UnsafeRoute and SafeRoute are
+// path prefixes under RouteHost. SmallModel and LargeModel are the models, called sizes
+// in the configuration, that EngineRoute may use.
 const (
 	KVAddress      = "10.8.0.1:80"
 	RouteHost      = "drawers.example"
@@ -44,8 +45,8 @@
 	// Engines and Plains are the numbers of replicas of EngineService and
 	// PlainService.
 	Engines, Plains int
-	// Engine and Plain are the options of these replicas. An Engine without events
-	// is replaced by a default.
+	// Engine and Plain are the options of these replicas. If Engine.Events is 0, a
+	// default replaces Engine.
 	Engine standin.ReplicaOptions
 	Plain  standin.ReplicaOptions
 	// Unconfigured starts the site without a configuration in the store.
@@ -57,10 +58,11 @@
 // RouterSite runs routers, the replicas to which they forward requests, and the store
 // of the users' platform, in one process.
 type RouterSite struct {
-	tb       testing.TB
-	opt      RouterOptions
-	Net      *Network
-	Store    *standin.Store
+	tb    testing.TB
+	opt   RouterOptions
+	Net   *Network
+	Store *standin.Store
+	// Replicas are by ReplicaID, Routers by number.
 	Replicas map[string]*standin.Replica
 	Routers  map[int]*router.Daemon
 	servers  map[Host]*http.Server
@@ -104,7 +106,7 @@
 	return rs
 }
 
-// Serve serves a stand-in at an address, on a host of its own.
+// Serve serves a stand-in at an address, on the host ho, until Close.
 func (rs *RouterSite) Serve(ho Host, address string, ha http.Handler) {
 	li, err := rs.Net.ForHost(ho).Listen(address)
 	if err != nil {
@@ -120,12 +122,14 @@
 	return fmt.Sprintf("i-%s-%d-%s", service, n, release)
 }
 
-// ReplicaAddress returns the address at which a replica listens.
+// ReplicaAddress returns the address at which a replica listens. Services whose names
+// are of one length share their addresses, and so do releases such as v1 and v10, for
+// which the length plus the last byte is the same.
 func ReplicaAddress(service string, n int, release string) string {
 	return fmt.Sprintf("10.%d.%d.%d:80", 20+len(service), len(release)+int(release[len(release)-1]), n)
 }
 
-// AddReplica starts a replica and registers it as ready.
+// AddReplica starts replica N of a service and release, and registers it as ready.
 func (rs *RouterSite) AddReplica(service string, n int, release string) *standin.Replica {
 	opt := rs.opt.Plain
 	if service == EngineService {
@@ -227,8 +231,8 @@
 	rs.Routers[n] = da
 }
 
-// KillRouter closes all connections of router-N at once, as a crash does, and stops
-// it.
+// KillRouter closes all connections of router-N at once, as a crash does, and then stops
+// it with a grace period of a second.
 func (rs *RouterSite) KillRouter(n int) {
 	rs.Net.Kill(Host(RouterName(n)))
 	da := rs.Routers[n]
@@ -238,7 +242,7 @@
 	da.Close(ctx)
 }
 
-// Client returns the HTTP client of a caller. It does not reuse connections.
+// Client returns an HTTP client on the host "caller". It does not reuse connections.
 func (rs *RouterSite) Client() *http.Client { return rs.Net.ForHost("caller").UnpooledClient() }
 
 // Ready reports whether router-N answers that it is ready.
@@ -266,7 +270,7 @@
 }
 
 // Eventually blocks until a condition holds and returns how long that took. It fails
-// the test when the condition does not hold within limit.
+// the test, with what as the name of the condition, if it does not hold within limit.
 func (rs *RouterSite) Eventually(limit time.Duration, what string, holds func() bool) time.Duration {
 	rs.tb.Helper()
 	return eventually(rs.tb, limit, what, holds)
--- a/testsite/site.go
+++ b/testsite/site.go
@@ -59,8 +59,8 @@
 	// service "desk".
 	Engines int
 	Plains  int
-	// Engine holds the options of every engine. Without slots it is replaced by a
-	// default of a fast engine.
+	// Engine holds the options of every engine. If Slots is 0, the options of a fast
+	// engine replace it.
 	Engine standin.EngineOptions
 	// Records are policy records that are added to the base policy. They replace its
 	// records of the same kind and id.
@@ -68,7 +68,7 @@
 	// EntrySettings are lines that are added to the entries' settings files, by
 	// section.
 	EntrySettings map[string]string
-	// VMLag is the delay after which the VM list shows a change.
+	// VMLag is the time until a change is visible in the VM list.
 	VMLag time.Duration
 	// Log writes the daemons' logs to standard error.
 	Log bool
@@ -76,13 +76,15 @@
 
 // Site runs entries, stewards, endpoints and the platform's services in one process.
 type Site struct {
-	tb       testing.TB
-	opt      Options
-	Net      *Network
-	Store    *standin.Store
-	VMs      *standin.VMList
-	Rating   *standin.Rating
-	Weights  *standin.Weights
+	tb      testing.TB
+	opt     Options
+	Net     *Network
+	Store   *standin.Store
+	VMs     *standin.VMList
+	Rating  *standin.Rating
+	Weights *standin.Weights
+	// The maps hold the processes by name, such as "engine-1", "desk-1", "entry-1" and
+	// "steward-1". A killed daemon is in none until it is started again.
 	Engines  map[string]*standin.Engine
 	Plains   map[string]*standin.Plain
 	Entries  map[string]*entry.Daemon
@@ -123,7 +125,7 @@
 	return si
 }
 
-// Serve serves a stand-in at an address, on a host of its own.
+// Serve serves a stand-in at an address, on the host ho, until Close.
 func (si *Site) Serve(ho Host, address string, ha http.Handler) {
 	li, err := si.Net.ForHost(ho).Listen(address)
 	if err != nil {
@@ -134,6 +136,8 @@
 	si.group.Go(func(context.Context) { _ = sv.Serve(li) })
 }
 
+// startEndpoints starts the engines and the endpoints of the service "desk". Only the
+// engines are in the VM list.
 func (si *Site) startEndpoints() {
 	for n := 1; n <= si.opt.Engines; n++ {
 		id := fmt.Sprintf("engine-%d", n)
@@ -215,7 +219,8 @@
 	si.VMs.Put(vm.VM{ID: vm.ID(name), Role: vm.RoleEntry, State: vm.Live, Address: PeerAddress(n)})
 }
 
-// FailureDomain returns the failure domain of VM N, one of three.
+// FailureDomain returns the failure domain of the processes numbered n, such as entry-N
+// and engine-N. There are three.
 func FailureDomain(n int) policy.FailureDomain {
 	return policy.FailureDomain(fmt.Sprintf("fd-%d", n%3))
 }
@@ -293,7 +298,7 @@
 }
 
 // WaitReady blocks until every entry has the policy and knows the other daemons as
-// members.
+// members, and for another half second.
 func (si *Site) WaitReady() {
 	si.Eventually(20*time.Second, "entries ready", func() bool {
 		for _, da := range si.Entries {
@@ -308,7 +313,7 @@
 }
 
 // Eventually blocks until a condition holds and returns how long that took. It fails
-// the test when the condition does not hold within limit.
+// the test, with what as the name of the condition, if it does not hold within limit.
 func (si *Site) Eventually(limit time.Duration, what string, holds func() bool) time.Duration {
 	si.tb.Helper()
 	return eventually(si.tb, limit, what, holds)
@@ -326,15 +331,15 @@
 	return time.Since(started)
 }
 
-// Client returns a client of the store for a host.
+// Client returns a client with which a host calls the store. The caller closes it.
 func (si *Site) Client(ho Host) *store.Client {
 	return store.NewClient(store.Options{
 		URLs: []string{"http://" + StoreAddress}, Timeout: time.Second, WatchProgress: 2 * time.Second, Dial: si.Net.ForHost(ho).Dial,
 	})
 }
 
-// Writer returns an operator's writer of policy records for a host, and its store
-// client, which the caller closes.
+// Writer returns a writer with which an operator on a host changes policy records, and
+// its store client, which the caller closes.
 func (si *Site) Writer(ho Host) (*configuration.Writer, *store.Client) {
 	cl := si.Client(ho)
 	return configuration.NewWriter(configuration.Keys{Root: "tanager/"}, cl), cl
