--- a/golden/golden_test.go
+++ b/golden/golden_test.go
@@ -55,8 +55,8 @@
 	})
 }
 
-// setup puts the programs on the script's PATH, and sets environment variables with
-// addresses that no other script uses.
+// setup puts the programs on the script's PATH, sets environment variables with
+// addresses that no other script uses, and puts these into the script's files.
 func setup(en *testscript.Env) error {
 	en.Setenv("PATH", programDir+string(filepath.ListSeparator)+os.Getenv("PATH"))
 	en.Setenv("USER", "asha")
@@ -91,7 +91,7 @@
 			return address, li.Close()
 		}
 	}
-	return "", errors.New("no free port")
+	return "", errors.New("no free port on 127.0.0.1 after 1000 tries")
 }
 
 // expandFiles replaces ${NAME} in the script's .ini and .json files by the environment
@@ -116,7 +116,7 @@
 }
 
 // awaitCommand implements "await URL [header...]": it blocks until a GET of the URL is
-// answered with 200.
+// answered with status 200. Headers are given as for call.
 func awaitCommand(ts *testscript.TestScript, _ bool, args []string) {
 	for range 200 {
 		rq, err := http.NewRequest(http.MethodGet, args[0], nil)
@@ -134,7 +134,8 @@
 	ts.Fatalf("%s: no answer with status 200 after 200 tries", args[0])
 }
 
-// awaitStoreCommand implements "await-store": it blocks until the store answers.
+// awaitStoreCommand implements "await-store": it blocks until the store answers, with
+// any status.
 func awaitStoreCommand(ts *testscript.TestScript, _ bool, _ []string) {
 	for range 200 {
 		rs, err := http.Post("http://"+ts.Getenv("STORE")+"/v3/kv/range", "application/json", strings.NewReader(`{"key":"eA=="}`))
@@ -152,8 +153,9 @@
 	"X-Tanager-Ran", "X-Tanager-Version", "X-Tanager-Endpoint", "X-Tanager-Session-Moved", "Idempotent-Replayed", "Retry-After",
 }
 
-// callCommand implements "call METHOD URL BODY [header...]": it prints status, some
-// headers and body of the answer, normalised.
+// callCommand implements "call METHOD URL BODY [header...]": it sends a request, and
+// prints the answer's status, printedHeaders and body, normalised. A header is given as
+// "Name: value".
 func callCommand(ts *testscript.TestScript, _ bool, args []string) {
 	rq, err := http.NewRequest(args[0], args[1], strings.NewReader(args[2]))
 	ts.Check(err)
