--- a/standin/engine.go
+++ b/standin/engine.go
@@ -43,7 +43,7 @@
 	// recently used prefix.
 	CachedPrefixes int
 	// ChecksFencing makes the engine refuse an order to load or unload a model if
-	// its fencing token is lower than the highest seen.
+	// its old fencing token.
 	ChecksFencing bool
 }
 
@@ -187,7 +187,7 @@
 	en.mu.Unlock()
 	last, err := strconv.Atoi(rq.Header.Get("Last-Event-ID"))
 	if ge == nil || err != nil {
-		http.Error(wr, "no answer with this ID, or Last-Event-ID is not a number", http.StatusNotFound)
+		http.Error(wr, "no such answer", http.StatusNotFound)
 		return
 	}
 	en.stream(wr, rq, ge, last)
--- a/standin/kv.go
+++ b/standin/kv.go
@@ -125,7 +125,7 @@
 	after, err := strconv.ParseInt(qu.Get("after"), 10, 64)
 	wait, err2 := strconv.ParseInt(qu.Get("wait_ms"), 10, 64)
 	if err != nil || err2 != nil {
-		http.Error(wr, "after and wait_ms must be whole numbers", http.StatusBadRequest)
+		http.Error(wr, "after and wait_ms are whole numbers", http.StatusBadRequest)
 		return
 	}
 	st.mu.Lock()
--- a/standin/order.go
+++ b/standin/order.go
@@ -39,7 +39,7 @@
 		en.mu.Lock()
 		defer en.mu.Unlock()
 		if en.opt.ChecksFencing && token < en.maxFencingToken {
-			http.Error(wr, "fencing token is lower than the highest seen", http.StatusConflict)
+			http.Error(wr, "old fencing token", http.StatusConflict)
 			return
 		}
 		en.maxFencingToken = max(en.maxFencingToken, token)
