--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -32,7 +32,8 @@
 }
 
 // Validate adds a finding to li for an invalid URL, a missing failure domain, a
-// negative number of slots, and each version or service that does not exist.
+// negative number of slots, each version that does not exist, and the service of a
+// plain endpoint if it does not exist.
 func (en Endpoint) Validate(li *finding.List, pl finding.Place, se *Set) {
 	at := specPlace(pl)
 	ur, err := url.Parse(en.Url)
@@ -58,13 +59,14 @@
 	}
 }
 
-// Serves reports whether the record lists a version as served by the endpoint.
+// Serves reports whether the endpoint's record lists a version among those that
+// the endpoint should serve. The engine may not have loaded it yet.
 func (en Endpoint) Serves(id VersionID) bool {
 	return slices.Contains(en.Versions, string(id))
 }
 
-// Service is a plain HTTP service, or a service whose endpoints are model engines
-// when its field Engine is set.
+// Service is a plain HTTP service or, if its field Engine is set, a service whose
+// endpoints are model engines.
 type Service struct {
 	ID ServiceID
 	*rpc.Service
--- a/policy/file.go
+++ b/policy/file.go
@@ -81,7 +81,7 @@
 }
 
 // ValidateFiles validates the set that results from adding the records of files to
-// se. The findings include those of records already in se, without a file.
+// se. The findings include those of records that are only in se; these name no file.
 func ValidateFiles(se *Set, frs []FileRecord) finding.List {
 	files := map[string]string{}
 	var res []Record
@@ -95,8 +95,9 @@
 	return append(li, next.Validate(place)...)
 }
 
-// unparsedFindings returns the findings of the given records whose envelope cannot
-// be parsed. Validate does not see them, because Records leaves them out.
+// unparsedFindings returns the findings of those records whose envelope cannot be
+// parsed, out of the records whose keys are in files, which maps each key to the
+// record's file. Validate does not see them, because Records leaves them out.
 func (se *Set) unparsedFindings(files map[string]string) finding.List {
 	var li finding.List
 	for key, file := range files {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -3,7 +3,8 @@
 //
 // A record is a JSON object with an envelope, which has the fields of rpc.Record,
 // and a "spec", whose fields are those of the protobuf message of its kind. Each
-// record has a schema version; a Set may mix records of versions 1 and 2.
+// record has a schema version. A Set may mix records of all versions, also of later
+// ones than SchemaVersion, but does not use a record whose min_reader is later.
 package policy
 
 import (
@@ -33,7 +34,8 @@
 	KindLimits       Kind = "limits"
 )
 
-// The ids of records, each unique within its kind.
+// The ids of records, each unique within its kind, and of releases, which have no
+// records.
 type (
 	// OrganisationID names an organisation.
 	OrganisationID string
@@ -49,7 +51,7 @@
 	RankID string
 	// EndpointID names an endpoint.
 	EndpointID string
-	// ServiceID names a plain service.
+	// ServiceID names a service, plain or of model engines.
 	ServiceID string
 	// RolloutID names a roll-out.
 	RolloutID string
@@ -64,7 +66,7 @@
 // FailureDomain names a part of a site that can fail as a whole.
 type FailureDomain string
 
-// Table holds the records of one kind by id.
+// Table holds the records of one kind that can be used, by id.
 type Table[K cmp.Ordered, V any] struct {
 	byID map[K]V
 	ids  []K
--- a/policy/rank.go
+++ b/policy/rank.go
@@ -28,9 +28,9 @@
 	}
 }
 
-// Validate adds a finding to li for a negative time, a floor or headroom that is
-// not a valid share, an order that another rank has, and floors of all ranks whose
-// sum is greater than 1.
+// Validate adds a finding to li for a negative time, a floor outside 0 to 1, a
+// headroom that is negative or not less than 1, an order that another rank has, and
+// floors of all ranks whose sum is greater than 1.
 func (ra Rank) Validate(li *finding.List, pl finding.Place, se *Set) {
 	at := specPlace(pl)
 	if ra.DeadlineMs < 0 {
@@ -43,7 +43,7 @@
 		li.Add(at("floor"), "%v is not between 0 and 1", ra.Floor)
 	}
 	if ra.Headroom < 0 || ra.Headroom >= 1 {
-		li.Add(at("headroom"), "%v is not at least 0 and less than 1", ra.Headroom)
+		li.Add(at("headroom"), "%v must be at least 0 and less than 1", ra.Headroom)
 	}
 	sum := 0.0
 	for _, other := range se.Ranks.List() {
@@ -63,8 +63,8 @@
 	return arrived.Add(time.Duration(ra.DeadlineMs) * time.Millisecond)
 }
 
-// FirstTokenDeadline returns the target time for the first token of a request that
-// arrived at the given time.
+// FirstTokenDeadline returns the time at which the first token of a request that
+// arrived at the given time is due, by the rank's target.
 func (ra Rank) FirstTokenDeadline(arrived time.Time) time.Time {
 	return arrived.Add(time.Duration(ra.FirstTokenTargetMs) * time.Millisecond)
 }
--- a/policy/record.go
+++ b/policy/record.go
@@ -21,10 +21,12 @@
 
 var idPattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._@:-]{0,62}$`)
 
-// Record is one policy record: its parsed envelope, and JSON, its complete text in
-// compact form, which includes fields unknown to this program.
+// Record is one policy record.
 type Record struct {
+	// Record is the parsed envelope.
 	*rpc.Record
+	// JSON is the complete text in compact form, the spec and the fields unknown to
+	// this program included.
 	JSON []byte
 }
 
@@ -72,10 +74,10 @@
 	Spec          json.RawMessage `json:"spec,omitempty"`
 }
 
-func newRecord(rt recordJSON) (Record, error) {
-	// Marshal removes the white space that protojson writes into the spec, which
-	// differs from build to build.
-	text, err := json.Marshal(rt)
+func newRecord(rj recordJSON) (Record, error) {
+	// Marshal removes the white space in the spec, which protojson writes differently
+	// from build to build.
+	text, err := json.Marshal(rj)
 	if err != nil {
 		return Record{}, eris.Wrap(err, "policy.newRecord")
 	}
@@ -104,12 +106,14 @@
 }
 
 // Stamp is the part of the envelope that describes the last change: who made it,
-// when, and as part of which operation. FencingToken is that of the steward which
-// made the change, 0 for an operator's change.
+// when, and as part of which operation.
 type Stamp struct {
-	ChangedBy    string
-	OperationID  string
-	ChangedAtMS  int64
+	ChangedBy   string
+	OperationID string
+	// ChangedAtMS is in Unix milliseconds.
+	ChangedAtMS int64
+	// FencingToken is that of the steward that made the change, 0 for an operator's
+	// change.
 	FencingToken int64
 }
 
@@ -210,6 +214,8 @@
 	ms := newSpec(Kind(re.GetKind()))
 	op := protojson.UnmarshalOptions{DiscardUnknown: re.GetSchemaVersion() > SchemaVersion}
 	if err := op.Unmarshal(re.Spec(), ms); err != nil {
+		// The errors of protobuf begin with "proto:" and, depending on the build, a
+		// space or a non-breaking space.
 		text := strings.ReplaceAll(err.Error(), "\u00a0", " ")
 		li.Add(pl, "spec: %s", strings.TrimPrefix(text, "proto: "))
 		return nil
--- a/policy/rollout.go
+++ b/policy/rollout.go
@@ -10,13 +10,13 @@
 	defaultQualityMargin  = 0.02
 )
 
-// Rollout moves new sessions of a model step by step from one version to another,
-// or, when its field Service is set, replaces the endpoints of a service by those
-// of another release.
+// Rollout moves new sessions of a model step by step from one version to another
+// or, if its field Service is set, replaces the endpoints of a service by those of
+// another release. ToVersion is then the release.
 type Rollout struct {
 	ID RolloutID
 	*rpc.Rollout
-	// FencingToken is that of the steward which changed the record last, 0 if an
+	// FencingToken is that of the steward that changed the record last, 0 if an
 	// operator did.
 	FencingToken int64
 }
@@ -39,8 +39,9 @@
 }
 
 // Validate adds a finding to li for a model or version that does not exist, a
-// version of another model, invalid shares, and a second active roll-out of the
-// model. A roll-out of a service's release has rules of its own.
+// version of another model, a roll-out from a version to itself, invalid shares, and
+// a second active roll-out of the model. A roll-out of a service's release has rules
+// of its own; see validateRelease.
 func (ro Rollout) Validate(li *finding.List, pl finding.Place, se *Set) {
 	at := specPlace(pl)
 	if ro.Service != "" {
--- a/policy/route.go
+++ b/policy/route.go
@@ -40,8 +40,8 @@
 }
 
 // Validate adds a finding to li for a missing host or split, an invalid prefix, a
-// service that does not exist, a negative number, and another route with the same
-// host and prefix.
+// service that does not exist, a negative weight, timeout or number of attempts, and
+// another route with the same host and prefix.
 func (rt Route) Validate(li *finding.List, pl finding.Place, se *Set) {
 	at := specPlace(pl)
 	if rt.Host == "" {
@@ -94,9 +94,9 @@
 	return rt.Kind == rpc.RouteKind_SAFE || rt.Kind == rpc.RouteKind_STREAM && rt.Resumable
 }
 
-// PickService returns the service for a random number, draw, from 0 to 1. Each
-// service is picked in proportion to the weight of its split; a route without splits
-// returns "".
+// PickService picks one of the route's services in proportion to the weights of its
+// splits. draw is a random number, at least 0 and less than 1. If all weights are 0,
+// the service of the last split is picked. Without splits, PickService returns "".
 func (rt Route) PickService(draw float64) ServiceID {
 	sum := int64(0)
 	for _, sp := range rt.Splits {
@@ -132,14 +132,15 @@
 	for _, rt := range rts {
 		out[rt.Host] = append(out[rt.Host], rt)
 	}
-	for _, of := range out {
-		slices.SortFunc(of, func(a, b Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
+	for _, group := range out {
+		slices.SortFunc(group, func(a, b Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
 	}
 	return out
 }
 
 // ServiceRollout returns the roll-out of a service's release: the active one, or
-// else the one that ended last. There is one record, whose id is the service's.
+// else the one that ended last. Its record has the service's id, so that a service has
+// one such record at most.
 func (se *Set) ServiceRollout(id ServiceID) (Rollout, bool) {
 	return se.Rollouts.ByID(RolloutID(id))
 }
--- a/policy/set.go
+++ b/policy/set.go
@@ -16,8 +16,9 @@
 	Revision store.Revision
 	// SnapshotRevision is the revision of the last complete read, 0 if there was
 	// none. Records removed after it are kept as tombstones; those removed before
-	// it are not in the set at all, so that ChangedAfter of an earlier revision is
-	// not complete.
+	// it are not in the set at all. A peer whose policy is older than it must
+	// therefore be sent all records: ChangedAfter of the peer's revision would lack
+	// removals.
 	SnapshotRevision store.Revision
 	byKey            map[string]parsedRecord
 
@@ -36,6 +37,7 @@
 	// Findings lists why records cannot be used. These records count as absent.
 	Findings finding.List
 
+	// byCallerKey and byOperatorKey map hashes of keys, as returned by HashKey.
 	byCallerKey   map[string]OrganisationID
 	byOperatorKey map[string]OperatorID
 	// byHost holds the routes of each host, longest prefix first.
@@ -84,8 +86,9 @@
 
 // WithSnapshot returns the set after a complete read of all records at a revision.
 // Records that are missing from the read are removed. A record of the set whose
-// ModRevision is greater than the revision of the read is kept as it is. A record
-// whose text has not changed is not parsed again and keeps its ModRevision.
+// ModRevision is greater than the revision of the read is kept as it is; the new
+// set's revision is nevertheless that of the read. A record whose text has not
+// changed is not parsed again and keeps its ModRevision.
 func (se *Set) WithSnapshot(revision store.Revision, records []StoredRecord) *Set {
 	next := &Set{Revision: revision, SnapshotRevision: revision, byKey: make(map[string]parsedRecord, len(records))}
 	for key, pr := range se.byKey {
@@ -233,7 +236,7 @@
 	return best, best.Rank != nil
 }
 
-// Validate returns the findings of all records that are not deleted, including
+// Validate returns the findings of the records that Records returns, including
 // references to records that do not exist. place returns the place to report for a
 // record's key.
 func (se *Set) Validate(place func(key string) finding.Place) finding.List {
@@ -257,7 +260,8 @@
 	// the value embeds. It is called once, before the set is used.
 	Defaults()
 	// Validate adds a finding to li for each mistake in the spec. pl is the place
-	// of the record, se the set in which its references must exist.
+	// of the record; se is the set in which the records that it refers to must
+	// exist.
 	Validate(li *finding.List, pl finding.Place, se *Set)
 }
 
