--- a/configuration/writer.go
+++ b/configuration/writer.go
@@ -105,7 +105,7 @@
 
 // Apply writes the records of a request. The error is or wraps a finding.List if
 // the request brings new mistakes, a *Conflict, ErrFenced, store.ErrUnavailable if
-// nothing was written, or store.ErrUnknown if that is not known.
+// nothing was written, or store.ErrOutcomeUnknown if that is not known.
 func (wr *Writer) Apply(ctx context.Context, rq Request) (Result, error) {
 	rs := Result{OperationID: ulid.Make().String()}
 	var first *policy.Set
--- a/store/client.go
+++ b/store/client.go
@@ -21,8 +21,9 @@
 // maxResponseBytes is the largest response that call reads.
 const maxResponseBytes = 64 << 20
 
-// idleConnTimeout is how long an idle pooled connection is reused, as in package
-// network: something between the ends may forget the connection after that.
+// idleConnTimeout is how long an idle pooled connection may be reused, as in package
+// network: after that, a device on the path, such as a firewall or NAT, may have
+// dropped its state.
 const idleConnTimeout = 3 * time.Second
 
 // Options configure a Client.
@@ -31,9 +32,10 @@
 	URLs []string
 	// Timeout limits each call except Watch.
 	Timeout time.Duration
-	// WatchProgress is how long a watch may receive nothing before it fails.
+	// WatchProgress is how long a watch may receive nothing, neither changes nor
+	// progress notifications, before it fails.
 	WatchProgress time.Duration
-	// Dial opens connections; nil is the default of net/http. Tests replace it.
+	// Dial opens connections. If it is nil, net/http opens them; tests set it.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
@@ -79,7 +81,7 @@
 
 // send posts ms as JSON and returns the response if its status is 200. The body of
 // the response must be closed. The boolean reports whether the store may have
-// received the message, that is, whether a connection was obtained.
+// received the message: it is true as soon as a connection was obtained.
 func (cl *Client) send(ctx context.Context, path string, ms any) (*http.Response, bool, error) {
 	bd, err := json.Marshal(ms)
 	if err != nil {
@@ -92,7 +94,8 @@
 	if err != nil {
 		return nil, false, eris.Wrap(err, "Client.send")
 	}
-	// Without GetBody, net/http cannot send the request a second time.
+	// Without GetBody, net/http cannot send the request a second time. A commit sent
+	// twice could be applied twice.
 	rq.GetBody = nil
 	rs, err := cl.http.Do(rq)
 	if err != nil {
@@ -165,7 +168,7 @@
 	ous := make([]Outcome, len(cos))
 	for i, re := range rs.Responses {
 		if re.Txn == nil {
-			return nil, eris.Wrap(ErrOutcomeUnknown, "Client.ApplyEach: result is not of a transaction")
+			return nil, eris.Wrap(ErrOutcomeUnknown, "Client.ApplyEach: result holds no transaction response")
 		}
 		ous[i] = outcomeFromWire(*re.Txn, rs.Header.Revision)
 	}
@@ -186,8 +189,8 @@
 	return eris.Wrapf(errors.Join(kind, err), "Client.%s", op)
 }
 
-// Watch implements Store. The watch fails after Options.WatchProgress without a
-// message, also if report blocks for that long.
+// Watch implements Store. The watch fails if it reads no message for
+// Options.WatchProgress, even if the reason is that report blocks for that long.
 func (cl *Client) Watch(ctx context.Context, prefix Key, from Revision, report func(WatchUpdate)) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -219,7 +222,8 @@
 	}
 }
 
-// updateFromWire converts a message of a watch.
+// updateFromWire converts a message of a watch. In a message without changes, only
+// the revision is set.
 func updateFromWire(re WireWatchResult) WatchUpdate {
 	wu := WatchUpdate{Revision: Revision(re.Header.Revision)}
 	for _, ev := range re.Events {
@@ -238,7 +242,7 @@
 	return LeaseID(le.ID), nil
 }
 
-// KeepAlive implements Store.
+// KeepAlive implements Store. etcd returns a TTL of 0 for a lease that has expired.
 func (cl *Client) KeepAlive(ctx context.Context, id LeaseID) (bool, error) {
 	var ka WireKeepAlive
 	if _, err := cl.call(ctx, "/v3/lease/keepalive", WireLease{ID: int64(id)}, &ka); err != nil {
@@ -249,8 +253,8 @@
 
 // Revoke implements Store.
 func (cl *Client) Revoke(ctx context.Context, id LeaseID) error {
-	var none WireHeader
-	if _, err := cl.call(ctx, "/v3/lease/revoke", WireLease{ID: int64(id)}, &none); err != nil {
+	var ignored WireHeader
+	if _, err := cl.call(ctx, "/v3/lease/revoke", WireLease{ID: int64(id)}, &ignored); err != nil {
 		return eris.Wrap(errors.Join(ErrUnavailable, err), "Client.Revoke")
 	}
 	return nil
--- a/store/resolve.go
+++ b/store/resolve.go
@@ -19,8 +19,9 @@
 // ApplyResolved applies a commit. If the outcome is unknown, it applies the same
 // commit again, with exponential backoff, until it gets an answer or ctx is done.
 // The commit must compare a key that it writes, so that at most one of the attempts
-// can take effect. isOwn reports whether the pairs found by a refused attempt show
-// that an earlier attempt took effect; the outcome is then Applied.
+// can take effect. If a later attempt is not applied, isOwn is called with
+// Outcome.Found and reports whether these pairs show that an earlier attempt took
+// effect; the outcome's Applied is then set.
 //
 // The error is ErrUnavailable if no attempt can have taken effect, and
 // ErrOutcomeUnknown if one may have.
--- a/store/store.go
+++ b/store/store.go
@@ -73,8 +73,9 @@
 	Deleted  bool
 }
 
-// WatchUpdate is one message of a watch: the changes up to Revision, or, if Changes
-// is empty, only a sign that the watch is alive.
+// WatchUpdate is one message of a watch: the changes up to Revision. A message
+// without changes shows that the watch is alive, and that all changes up to Revision
+// have been reported.
 type WatchUpdate struct {
 	Revision Revision
 	Changes  []Change
@@ -93,8 +94,8 @@
 var ErrCompacted = eris.New("store: revision compacted")
 
 // Store is the platform's key-value service. The error of a method wraps
-// ErrUnavailable and its cause. That of Apply and ApplyEach may wrap
-// ErrOutcomeUnknown instead, that of Watch ErrCompacted.
+// ErrUnavailable and its cause. Instead of ErrUnavailable, the error of Apply and
+// ApplyEach may wrap ErrOutcomeUnknown, and that of Watch ErrCompacted.
 type Store interface {
 	// Range reads all pairs whose key has a prefix.
 	Range(ctx context.Context, prefix Key) (ReadResult, error)
@@ -105,9 +106,9 @@
 	// ApplyEach applies independent commits in one call and returns the outcome of
 	// each, in the same order.
 	ApplyEach(ctx context.Context, cos []Commit) ([]Outcome, error)
-	// Watch calls report with the changes under a prefix from a revision on. It
-	// blocks until ctx is done, or until the watch fails or receives nothing for
-	// too long, and always returns an error.
+	// Watch calls report with the changes under a prefix at revision from and
+	// later. It blocks until ctx is done, or until the watch fails or receives
+	// nothing for too long, and always returns an error.
 	Watch(ctx context.Context, prefix Key, from Revision, report func(WatchUpdate)) error
 	// Grant creates a lease with a time to live.
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, error)
--- a/store/wire.go
+++ b/store/wire.go
@@ -109,8 +109,8 @@
 	TTL int64 `json:"TTL,string"`
 }
 
-// WireLease is etcd's response to a lease call, and its request to keep alive or
-// revoke a lease. TTL is in seconds.
+// WireLease is etcd's LeaseGrantResponse, the result of a keep-alive, and the
+// request that keeps alive or revokes a lease, which has no TTL. TTL is in seconds.
 type WireLease struct {
 	ID  int64 `json:"ID,string"`
 	TTL int64 `json:"TTL,string,omitempty"`
@@ -123,7 +123,7 @@
 
 // PrefixEnd returns the end of the range of keys with a prefix, exclusive: the
 // smallest key that is greater than all of them. If there is none, it returns a
-// zero byte, which etcd takes as no upper bound.
+// zero byte, which in etcd means no upper bound.
 func PrefixEnd(prefix Key) []byte {
 	end := []byte(prefix)
 	for i := len(end) - 1; i >= 0; i-- {
