--- a/endpoint/forward.go
+++ b/endpoint/forward.go
@@ -25,9 +25,9 @@
 	Repeatable bool
 	// HeaderDeadline is when the answer's header must have been received.
 	HeaderDeadline time.Time
-	// Progress is the longest time without a byte of the answer's body, after its
+	// IdleTimeout is the longest time without a byte of the answer's body, after its
 	// header.
-	Progress time.Duration
+	IdleTimeout time.Duration
 }
 
 // ForwardAnswer is an answer whose body has not been read yet. It is not safe for
@@ -55,8 +55,8 @@
 	if fa != nil {
 		return nil, fa
 	}
-	co.progress = ca.Progress
-	co.timer.Reset(ca.Progress)
+	co.progress = ca.IdleTimeout
+	co.timer.Reset(ca.IdleTimeout)
 	rs := co.response
 	return &ForwardAnswer{Status: rs.StatusCode, Header: rs.Header, Length: rs.ContentLength, conn: co}, nil
 }
--- a/endpoint/plain.go
+++ b/endpoint/plain.go
@@ -23,9 +23,9 @@
 	// Repeatable is set if the call may run more than once. It may then use a
 	// pooled connection, on which net/http may send a request again by itself.
 	Repeatable bool
-	// Deadline is when the first byte of the answer's body must have been received.
+	// FirstByteDeadline is when the first byte of the answer's body must have been received.
 	// After that, the client's progress is the longest time without a byte.
-	Deadline time.Time
+	FirstByteDeadline time.Time
 	// MaxBytes is the largest size of the answer's body.
 	MaxBytes int64
 }
@@ -51,7 +51,7 @@
 	if ca.Repeatable {
 		hc = cl.pooled
 	}
-	co, fa := cl.open(ctx, hc, rq, time.Until(ca.Deadline))
+	co, fa := cl.open(ctx, hc, rq, time.Until(ca.FirstByteDeadline))
 	if fa != nil {
 		return PlainAnswer{}, fa
 	}
--- a/endpoint/stream_test.go
+++ b/endpoint/stream_test.go
@@ -81,7 +81,7 @@
 	defer cl.Close()
 	call := endpoint.PlainCall{
 		URL: sv.URL, Attempt: "a", Method: http.MethodPost, Path: "/", Body: []byte("x"), MaxBytes: 100,
-		Header: http.Header{"Idempotency-Key": []string{"k"}}, Deadline: time.Now().Add(time.Minute),
+		Header: http.Header{"Idempotency-Key": []string{"k"}}, FirstByteDeadline: time.Now().Add(time.Minute),
 	}
 	_, err := cl.CallPlain(t.Context(), call)
 	qt.Assert(t, err, qt.IsNil)
--- a/entry/service.go
+++ b/entry/service.go
@@ -210,7 +210,7 @@
 	ca.steps.add("sent to %s", en.ID)
 	an, err := da.client.CallPlain(ctx, endpoint.PlainCall{
 		URL: en.Url, Attempt: endpoint.AttemptID(ulid.Make().String()), Method: ca.method, Path: ca.path,
-		Header: ca.header, Body: ca.body, Repeatable: ca.repeatable(), Deadline: ca.deadline, MaxBytes: maxPlainAnswerBytes,
+		Header: ca.header, Body: ca.body, Repeatable: ca.repeatable(), FirstByteDeadline: ca.deadline, MaxBytes: maxPlainAnswerBytes,
 	})
 	result := placement.Succeeded
 	if err != nil {
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -141,7 +141,7 @@
 	})
 	source, err := ro.client.Forward(ctx, endpoint.ForwardCall{
 		URL: at.endpoint.Url, Method: rq.Method, Target: rq.Target, Host: rq.Host, Header: he, Body: rq.Body,
-		Repeatable: ca.route.Repeatable(), HeaderDeadline: at.headDeadline(), Progress: at.idleTimeout(),
+		Repeatable: ca.route.Repeatable(), HeaderDeadline: at.headDeadline(), IdleTimeout: at.idleTimeout(),
 	})
 	if err != nil {
 		fa := failureOf(err)
