--- a/endpoint/endpoint.go
+++ b/endpoint/endpoint.go
@@ -57,7 +57,7 @@
 	// service.
 	HeaderPriority = "X-Priority"
 
-	// maxErrorBytes is how much of the body of an error answer is kept.
+	// maxErrorBytes is how much of the body of an error answer is read and kept.
 	maxErrorBytes = 4096
 )
 
@@ -87,9 +87,9 @@
 // Unwrap returns the underlying error.
 func (fa *Failure) Unwrap() error { return fa.Err }
 
-// InvalidRequest reports whether the endpoint rejected the request itself, so that
-// another endpoint would reject it too. The statuses 408 and 429 depend on the
-// endpoint and do not count.
+// InvalidRequest reports whether the endpoint rejected the request as invalid (a 4xx
+// status), so that another endpoint would reject it too. The statuses 408 and 429
+// depend on the endpoint and do not count.
 func (fa *Failure) InvalidRequest() bool {
 	return fa.Status >= 400 && fa.Status < 500 && fa.Status != http.StatusTooManyRequests && fa.Status != http.StatusRequestTimeout
 }
@@ -130,17 +130,18 @@
 // pooled connections; all other requests use a new connection each. It is safe for
 // concurrent use.
 type Client struct {
-	pooled   *http.Client
-	unpooled *http.Client
-	progress time.Duration
-	dropped  atomic.Int64
-	resumed  atomic.Int64
+	pooled      *http.Client
+	unpooled    *http.Client
+	idleTimeout time.Duration
+	dropped     atomic.Int64
+	resumed     atomic.Int64
 }
 
-// NewClient returns a client. progress is the longest time for which a connection
-// may receive nothing.
-func NewClient(ne network.Network, progress time.Duration) *Client {
-	return &Client{pooled: ne.Client(64), unpooled: ne.UnpooledClient(), progress: progress}
+// NewClient returns a client. idleTimeout is the longest time without data from an
+// endpoint, for calls that give no other limit. The first event of a stream may take
+// longer; see firstEventTimeoutFactor.
+func NewClient(ne network.Network, idleTimeout time.Duration) *Client {
+	return &Client{pooled: ne.Client(64), unpooled: ne.UnpooledClient(), idleTimeout: idleTimeout}
 }
 
 // Close closes the idle pooled connections.
@@ -153,24 +154,26 @@
 // Resumed returns how often a stream was resumed on a new connection.
 func (cl *Client) Resumed() int64 { return cl.resumed.Load() }
 
-// connection is a request in progress. It is cancelled when nothing is received for
-// too long.
+// connection is one request and its answer, from sending until the answer has been
+// read. It is cancelled when nothing is received for too long. It may use a pooled
+// network connection.
 type connection struct {
 	response *http.Response
 	cancel   context.CancelFunc
 	timer    *time.Timer
-	// silent is set when timer has cancelled the request.
+	// silent is set if timer has cancelled the request.
 	silent *atomic.Bool
-	// progress is the longest time without a byte of the body.
-	progress time.Duration
+	// idleTimeout is the longest time without a byte of the body, after the first.
+	idleTimeout time.Duration
 }
 
 // open sends a request and blocks until it has the answer's header. A timer cancels
-// the request after wait, unless a Read that returns data has restarted it with the
-// connection's progress. The connection must be closed.
+// the request if the header and the first data of the body have not been received
+// after wait; each Read that returns data then restarts the timer with the
+// connection's idleTimeout. The connection must be closed.
 func (cl *Client) open(ctx context.Context, hc *http.Client, rq *http.Request, wait time.Duration) (*connection, *Failure) {
 	ctx, cancel := context.WithCancel(ctx)
-	co := &connection{cancel: cancel, silent: &atomic.Bool{}, progress: cl.progress}
+	co := &connection{cancel: cancel, silent: &atomic.Bool{}, idleTimeout: cl.idleTimeout}
 	co.timer = time.AfterFunc(wait, func() {
 		co.silent.Store(true)
 		cancel()
@@ -194,11 +197,12 @@
 	return co, nil
 }
 
-// Read reads from the answer's body. Each read that returns data restarts the timer.
+// Read reads from the answer's body. Each read that returns data restarts the timer
+// with idleTimeout.
 func (co *connection) Read(buf []byte) (int, error) {
 	n, err := co.response.Body.Read(buf)
 	if n > 0 {
-		co.timer.Reset(co.progress)
+		co.timer.Reset(co.idleTimeout)
 	}
 	return n, err
 }
--- a/endpoint/forward.go
+++ b/endpoint/forward.go
@@ -18,15 +18,16 @@
 	// Target is the request target, path and query, exactly as the caller sent it.
 	Target string
 	Host   string
+	// Header is the request's header. Forward may add an empty User-Agent to it.
 	Header http.Header
 	Body   []byte
-	// Repeatable is set if the request may run more than once. The call may then use
-	// a pooled connection, on which net/http may send a request again by itself.
+	// Repeatable is set if the request may run more than once. The call then uses a
+	// pooled connection, on which net/http may send a request again by itself.
 	Repeatable bool
 	// HeaderDeadline is when the answer's header must have been received.
 	HeaderDeadline time.Time
-	// IdleTimeout is the longest time without a byte of the answer's body, after its
-	// header.
+	// IdleTimeout is the longest time without a byte of the answer's body, counted
+	// from its header on.
 	IdleTimeout time.Duration
 }
 
@@ -55,7 +56,7 @@
 	if fa != nil {
 		return nil, fa
 	}
-	co.progress = ca.IdleTimeout
+	co.idleTimeout = ca.IdleTimeout
 	co.timer.Reset(ca.IdleTimeout)
 	rs := co.response
 	return &ForwardAnswer{Status: rs.StatusCode, Header: rs.Header, Length: rs.ContentLength, conn: co}, nil
@@ -72,7 +73,8 @@
 	rq.URL = &url.URL{Scheme: rq.URL.Scheme, Host: rq.URL.Host, Opaque: path, RawQuery: query, ForceQuery: hasQuery && query == ""}
 	rq.Host, rq.Header = ca.Host, ca.Header
 	if len(ca.Body) > 0 || !ca.Repeatable {
-		// Without GetBody, net/http cannot send the request a second time.
+		// net/http cannot send a request a second time that has a body but no
+		// GetBody. A request that is not repeatable gets a body even if it is empty.
 		rq.Body = io.NopCloser(bytes.NewReader(ca.Body))
 		rq.ContentLength = int64(len(ca.Body))
 	}
@@ -82,13 +84,13 @@
 	return rq, nil
 }
 
-// Read reads from the body. Each read that returns data restarts the timeout
-// ForwardCall.Progress.
+// Read reads from the body. Each read that returns data restarts
+// ForwardCall.IdleTimeout.
 func (an *ForwardAnswer) Read(buf []byte) (int, error) { return an.conn.Read(buf) }
 
 // ReadFailure returns the failure for an error of Read.
 func (an *ForwardAnswer) ReadFailure(err error) *Failure { return an.conn.readFailure(err) }
 
-// Close closes the body. It also closes the connection, unless the body was read to
-// its end.
+// Close closes the body. It also closes the network connection, unless the body was
+// read to its end.
 func (an *ForwardAnswer) Close() { an.conn.close() }
--- a/endpoint/order.go
+++ b/endpoint/order.go
@@ -28,7 +28,9 @@
 	// Weights is the key of the version's weights in the weight store.
 	Weights string
 	// Load is true to load, false to unload.
-	Load         bool
+	Load bool
+	// FencingToken is the sender's token. An engine that checks it refuses the order
+	// if it has seen a greater one.
 	FencingToken int64
 }
 
@@ -53,10 +55,10 @@
 	if err != nil {
 		return eris.Wrap(err, "Client.SendOrder")
 	}
-	rq.GetBody = nil
+	rq.GetBody = nil // prevents net/http from sending the order a second time
 	rq.Header.Set("Content-Type", "application/json")
 	rq.Header.Set(HeaderFencingToken, strconv.FormatInt(or.FencingToken, 10))
-	co, fa := cl.open(ctx, cl.unpooled, rq, cl.progress)
+	co, fa := cl.open(ctx, cl.unpooled, rq, cl.idleTimeout)
 	if fa != nil {
 		return eris.Wrap(fa, "Client.SendOrder")
 	}
@@ -71,7 +73,7 @@
 	return nil
 }
 
-// maxModelsBytes is the length to which an engine's list of models is cut off.
+// maxModelsBytes is how much of an engine's list of models is read.
 const maxModelsBytes = 1 << 20
 
 // LoadedModels returns the names of the models that an engine has loaded, as listed
@@ -81,7 +83,7 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "Client.LoadedModels")
 	}
-	co, fa := cl.open(ctx, cl.unpooled, rq, cl.progress)
+	co, fa := cl.open(ctx, cl.unpooled, rq, cl.idleTimeout)
 	if fa != nil {
 		return nil, eris.Wrap(fa, "Client.LoadedModels")
 	}
--- a/endpoint/plain.go
+++ b/endpoint/plain.go
@@ -20,11 +20,11 @@
 	Path   string
 	Header http.Header
 	Body   []byte
-	// Repeatable is set if the call may run more than once. It may then use a
-	// pooled connection, on which net/http may send a request again by itself.
+	// Repeatable is set if the call may run more than once. It then uses a pooled
+	// connection.
 	Repeatable bool
-	// FirstByteDeadline is when the first byte of the answer's body must have been received.
-	// After that, the client's progress is the longest time without a byte.
+	// FirstByteDeadline is when the first byte of the answer's body must have been
+	// received. After that, only the client's idle timeout applies.
 	FirstByteDeadline time.Time
 	// MaxBytes is the largest size of the answer's body.
 	MaxBytes int64
@@ -44,7 +44,7 @@
 	if err != nil {
 		return PlainAnswer{}, &Failure{Cause: CauseUnreachable, Err: err}
 	}
-	rq.GetBody = nil
+	rq.GetBody = nil // prevents net/http from sending the call a second time
 	rq.Header = ca.Header.Clone()
 	rq.Header.Set(HeaderAttempt, string(ca.Attempt))
 	hc := cl.unpooled
--- a/endpoint/stream.go
+++ b/endpoint/stream.go
@@ -20,8 +20,9 @@
 	maxEventBytes = 1 << 20
 	// maxResumes is the largest number of attempts to resume one stream.
 	maxResumes = 3
-	// firstEventTimeoutFactor times the client's progress is the longest wait for
-	// the first event. The wait includes the time in the engine's own queue.
+	// firstEventTimeoutFactor times the client's idle timeout is the longest wait
+	// for the first event. It is longer than the idle timeout because it includes
+	// the time in the engine's own queue.
 	firstEventTimeoutFactor = 2
 )
 
@@ -81,7 +82,7 @@
 	if err != nil {
 		return nil, &Failure{Cause: CauseUnreachable, Err: err}
 	}
-	rq.GetBody = nil
+	rq.GetBody = nil // prevents net/http from sending the call a second time
 	rq.Header.Set("Content-Type", "application/json")
 	rq.Header.Set(HeaderAttempt, string(ca.Attempt))
 	hc := cl.pooled
@@ -95,9 +96,10 @@
 	return st, nil
 }
 
-// connect sends a request for the stream and sets the connection to read from.
+// connect sends a request for the stream or for its rest, and sets the connection to
+// read from.
 func (st *Stream) connect(hc *http.Client, rq *http.Request) *Failure {
-	co, fa := st.client.open(st.ctx, hc, rq, firstEventTimeoutFactor*st.client.progress)
+	co, fa := st.client.open(st.ctx, hc, rq, firstEventTimeoutFactor*st.client.idleTimeout)
 	if fa != nil {
 		return fa
 	}
@@ -123,9 +125,9 @@
 func (st *Stream) Load() Load { return st.load }
 
 // Next returns the next chunk, or io.EOF after the last one. Any other error is a
-// *Failure. If the stream breaks, times out or mixes in another request's chunk, and
-// a chunk with an id has been read, Next resumes it on a new connection after the
-// last chunk read. It skips events that the engine repeats.
+// *Failure. If the stream breaks, times out or contains another request's chunk, Next
+// resumes it on a new connection after the last chunk read; this requires that a
+// chunk with an id has been read. Next skips events that the engine repeats.
 func (st *Stream) Next() (Event, error) {
 	for {
 		ev, err := st.readEvent()
@@ -171,7 +173,8 @@
 
 // resume requests the rest of the stream from the engine, on a new connection, and
 // reports whether the engine sends it. It tries again until the engine rejects the
-// request, there were maxResumes attempts, or the context is done.
+// request as invalid, the stream has used up its maxResumes attempts, or the context
+// is done.
 func (st *Stream) resume() bool {
 	st.conn.close()
 	for st.resumes < maxResumes && st.ctx.Err() == nil {
@@ -249,15 +252,15 @@
 	return id
 }
 
-// Close closes the connection. If the stream has not ended, it asks the engine to
-// cancel the request, and blocks until the engine answers, at most for the client's
-// progress.
+// Close closes the connection. If the last event has not been read, it asks the
+// engine to cancel the request, and blocks until the engine answers or the client's
+// idle timeout has passed.
 func (st *Stream) Close() {
 	st.conn.close()
 	if st.ended {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(st.ctx), st.client.progress)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(st.ctx), st.client.idleTimeout)
 	defer cancel()
 	rq, err := http.NewRequestWithContext(ctx, http.MethodDelete, st.call.URL+chatPath+"/"+string(st.call.Attempt), nil)
 	if err != nil {
@@ -269,8 +272,8 @@
 	}
 }
 
-// FirstEventDeadline returns the time at which an engine call sent at the given time
-// fails with CauseSilent if it has received nothing of the answer's body.
+// FirstEventDeadline returns the time at which an engine call that was sent at the
+// given time fails with CauseSilent if no byte of the answer's body has been received.
 func (cl *Client) FirstEventDeadline(sent time.Time) time.Time {
-	return sent.Add(firstEventTimeoutFactor * cl.progress)
+	return sent.Add(firstEventTimeoutFactor * cl.idleTimeout)
 }
