--- a/rpc/peer.twirp.go
+++ b/rpc/peer.twirp.go
@@ -41,7 +41,8 @@
 	// FetchPolicy returns the policy records changed after a revision.
 	FetchPolicy(context.Context, *FetchPolicyRequest) (*FetchPolicyResponse, error)
 
-	// OfferPolicy sends policy records to a daemon that cannot fetch them itself.
+	// OfferPolicy sends policy records to a daemon that is behind and has not fetched
+	// them itself.
 	OfferPolicy(context.Context, *OfferPolicyRequest) (*OfferPolicyResponse, error)
 
 	// HoldBills stores copies of a peer's unsealed bills.
