--- a/policy/record.go
+++ b/policy/record.go
@@ -45,7 +45,7 @@
 	ms := &rpc.Record{}
 	op := protojson.UnmarshalOptions{DiscardUnknown: true}
 	if err := op.Unmarshal(compact.Bytes(), ms); err != nil {
-		return Record{}, eris.Errorf("%v", err)
+		return Record{}, eris.Errorf("envelope: %v", err)
 	}
 	return Record{Record: ms, JSON: compact.Bytes()}, nil
 }
--- a/policy/set.go
+++ b/policy/set.go
@@ -109,7 +109,7 @@
 	return next
 }
 
-// Live returns the records that are not deleted in stored form, ordered as by
+// Live returns, in stored form, the records that are not deleted, ordered as by
 // ChangedAfter. It includes records that cannot be used.
 func (se *Set) Live() []StoredRecord {
 	return slices.DeleteFunc(se.ChangedAfter(0), func(st StoredRecord) bool {
