--- a/configuration/writer.go
+++ b/configuration/writer.go
@@ -108,7 +108,7 @@
 // Apply writes the records of a request. The error is or wraps a finding.List if
 // the request introduces findings, a *Conflict if a record has changed since its
 // base, ErrFenced if the lease is no longer held, store.ErrUnavailable if nothing was
-// written, or store.ErrUnknown if it is not known whether the request was written.
+// written, or store.ErrOutcomeUnknown if it is not known whether the request was written.
 func (wr *Writer) Apply(ctx context.Context, rq Request) (Result, error) {
 	rs := Result{OperationID: ulid.Make().String()}
 	var first *policy.Set
