--- a/proof/bill_test.go
+++ b/proof/bill_test.go
@@ -43,8 +43,9 @@
 	br.billIDs = append(br.billIDs, got.Header.Get(entry.HeaderBill))
 }
 
-// generateLoad starts four callers for each of the entries, which send chat
-// requests until ctx ends. The caller waits for them with wg.
+// generateLoad starts four goroutines for each element of entries, which send chat
+// requests to that entry until ctx ends. An entry that is given twice gets eight.
+// Entries with an even number are asked for streams. wg counts the goroutines.
 func generateLoad(ctx context.Context, si *testsite.Site, br *billRecorder, wg *sync.WaitGroup, entries ...int) {
 	for _, n := range entries {
 		for range 4 {
@@ -130,7 +131,8 @@
 
 // TestPartitionedOwnerDoesNotDuplicateBillsSealedByPeers cuts an entry with unsealed
 // bills off from its peers and from the store, and reconnects it after its peers
-// sealed the bills for it.
+// sealed the bills for it. The entry then seals them as well; none may be stored
+// twice.
 func TestPartitionedOwnerDoesNotDuplicateBillsSealedByPeers(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 3, Engines: 2}, func(t *testing.T, si *testsite.Site) {
 		var br billRecorder
@@ -141,8 +143,9 @@
 		for range 10 {
 			br.record(si.Chat(testsite.Call{Entry: 1}))
 		}
-		// The peers take entry-1 for failed and seal the copies that they hold of
-		// its bills. Then it reaches the store again and seals the same bills.
+		// During the 12 seconds the peers take entry-1 for failed and seal the copies
+		// that they hold of its bills. Then entry-1 reaches the store again and seals
+		// the same bills.
 		for n := 2; n <= 3; n++ {
 			si.Net.Cut(testsite.Host(testsite.EntryName(1)), testsite.PeerAddress(n))
 			si.Net.Cut(testsite.Host(testsite.EntryName(n)), testsite.PeerAddress(1))
@@ -162,8 +165,8 @@
 }
 
 // TestRetriesAndRepeatedRequestIDsAreBilledOnce checks that an answer that took
-// several attempts has one bill, and that the bill of a second answer to the same
-// request ID is stored as repeated.
+// several attempts has one bill, and that of two answers to the same request ID the
+// second one's bill is stored as repeated.
 func TestRetriesAndRepeatedRequestIDsAreBilledOnce(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 2, Engines: 3}, func(t *testing.T, si *testsite.Site) {
 		si.Engines["engine-1"].SetFaults(standin.Faults{FailModel: "m-1"})
@@ -213,7 +216,9 @@
 
 // TestMissingPeersDoNotOverloadStore runs fewer peers than the settings ask for
 // copies of each bill. An entry without any peer has to seal a bill before it sends the
-// end of the answer, and must batch the bills instead of storing each by itself.
+// end of the answer, and must batch the bills instead of storing each by itself. With a
+// round of sealing every 25 ms it makes about 40 writes a second; without batches it
+// would make one for each answer, of which it gives about 200 a second.
 func TestMissingPeersDoNotOverloadStore(t *testing.T) {
 	for _, entries := range []int{1, 2} {
 		withSite(t, testsite.Options{Entries: entries, Engines: 3}, func(t *testing.T, si *testsite.Site) {
--- a/proof/claim_test.go
+++ b/proof/claim_test.go
@@ -13,8 +13,8 @@
 	"tanagerpoint.example/tanager/testsite"
 )
 
-// timesRun returns how often the replicas of the plain service ran the call with
-// an idempotency key.
+// timesRun returns how often the endpoints of the service "desk" ran the call with an
+// idempotency key. An empty key stands for all calls without one.
 func timesRun(si *testsite.Site, key string) int {
 	n := 0
 	for _, pl := range si.Plains {
@@ -115,8 +115,8 @@
 }
 
 // TestClaimLostInStoreOutageIsReleased checks that a claim whose outcome the entry
-// did not learn in time is released after the outage. Otherwise the call could not
-// run until the claim expires.
+// did not learn in time is released after the outage. Otherwise repeats of the call
+// would be refused until the claim expires.
 func TestClaimLostInStoreOutageIsReleased(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 2, Plains: 1}, func(t *testing.T, si *testsite.Site) {
 		si.Checkout(testsite.Call{Entry: 1}, "POST", "warm", "{}")
--- a/proof/configuration_test.go
+++ b/proof/configuration_test.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	// propagationLimit is the longest time in which all entries apply a change of
-	// the configuration under one failure, healthyPropagationLimit without a
-	// failure.
+	// propagationLimit is the longest time that a change of the configuration may
+	// take to reach all entries while one failure lasts. healthyPropagationLimit is
+	// the same without a failure.
 	propagationLimit        = 6 * time.Second
 	healthyPropagationLimit = time.Second
 )
--- a/proof/history_test.go
+++ b/proof/history_test.go
@@ -42,6 +42,9 @@
 		case in.next == "":
 			return out.read == st, st
 		case out.unknown:
+			// A change that was never applied needs no case of its own. As it has
+			// no time of return, the checker may place it after all other
+			// operations, where no read sees its effect.
 			if st == in.base {
 				return true, in.next
 			}
@@ -56,8 +59,8 @@
 
 // TestChangesAreLinearizable lets four operators read and change one record
 // while the store loses responses, is slow or is down, and checks that the
-// history is linearizable. The seed determines the faults and their
-// durations.
+// history is linearizable. The seed determines the faults, their durations and the
+// pauses between the operations.
 func TestChangesAreLinearizable(t *testing.T) {
 	for seed := range uint64(5) {
 		withSite(t, testsite.Options{Entries: 1, Engines: 1}, func(t *testing.T, si *testsite.Site) {
@@ -69,7 +72,7 @@
 				defer mu.Unlock()
 				returnedAt := clock.Add(1)
 				if out.unknown {
-					// The change may take effect at any later time.
+					// The change may take effect at any later time, or never.
 					returnedAt = math.MaxInt64
 				}
 				history = append(history, porcupine.Operation{ClientId: client, Input: in, Call: calledAt, Output: out, Return: returnedAt})
--- a/proof/kill_test.go
+++ b/proof/kill_test.go
@@ -13,7 +13,8 @@
 	"tanagerpoint.example/tanager/testsite"
 )
 
-// secondFaults are injected together with the kill of an entry, by their names.
+// secondFaults holds the faults that are injected right after the kill of entry-1,
+// by the names of the subtests.
 var secondFaults = map[string]func(si *testsite.Site){
 	"no second fault":         func(*testsite.Site) {},
 	"store loses responses":   func(si *testsite.Site) { si.Store.SetFaults(standin.Faults{LoseAnswers: 3}) },
--- a/proof/limit_test.go
+++ b/proof/limit_test.go
@@ -68,7 +68,8 @@
 
 // TestSlowCallersAreDisconnected opens connections that send incomplete
 // headers, or an incomplete body. Without read deadlines such callers hold
-// connections for ever.
+// connections for ever. The limits are those of the entry (5 s for headers, 15 s for a
+// body) and some time for the close.
 func TestSlowCallersAreDisconnected(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 1, Engines: 1, EntrySettings: singleEntrySettings()}, func(t *testing.T, si *testsite.Site) {
 		head := "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n"
@@ -105,8 +106,8 @@
 		// The connection stays open, and nothing reads from it.
 		si.Eventually(15*time.Second, "connection of the caller closed", func() bool { return si.State(1).InFlight == 0 })
 		_ = co.Close()
-		// The caller's failure does not count against the endpoint, and the
-		// partial answer is billed.
+		// The write that timed out does not count as a failure of the endpoint, and
+		// the partial answer is billed.
 		qt.Assert(t, si.State(1).Endpoints["engine-1"].Failures, qt.Equals, 0)
 		time.Sleep(2 * time.Second)
 		qt.Assert(t, si.Bills().Bills[0].GetOutcome(), qt.Equals, "cancelled")
@@ -152,9 +153,9 @@
 	})
 }
 
-// TestRetriesDoNotAmplifyLoad freezes one of three endpoints under load. At
-// most a tenth more requests may be sent to the endpoints than were received, and at
-// most 10 of 300 may fail.
+// TestRetriesDoNotAmplifyLoad freezes one of three endpoints and sends 300 requests.
+// The endpoints may run at most a tenth more requests than the callers sent, and at
+// most 10 of the 300 may fail.
 func TestRetriesDoNotAmplifyLoad(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 2, Engines: 3}, func(t *testing.T, si *testsite.Site) {
 		received, sent := 0, func() int {
@@ -201,7 +202,7 @@
 		}
 		cancel()
 		wg.Wait()
-		const slots = 4 * 8
+		const slots = 4 * 8 // four engines with eight slots each
 		qt.Assert(t, sum > 0.9*slots && sum < 1.1*slots, qt.IsTrue, qt.Commentf("the entries' shares add up to %.1f of %d slots", sum, slots))
 	})
 }
--- a/proof/seefail.sh
+++ b/proof/seefail.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
 # Applies each seeded fault of faults.txt to a copy of the tree and checks that its
 # test fails there. An argument, a regular expression, selects faults by their names.
+# The line format is in faults.txt.
 # Exits with status 1 if a fault does not apply or build, or if its test passes.
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -28,6 +29,8 @@
     echo "FAIL  $name: the tree does not build with the fault"; cat "$copy/build.log"; failed=1
   fi
   mv "$copy/$file.orig" "$copy/$file"
-# The columns end with ' | '; ' || ' within a substitution is hidden from the split.
+# Only the first three ' | ' of a line separate columns; they become '|' for read. The
+# rest, with any '|' in it, is the substitution. ' || ' is replaced meanwhile, so that it
+# stays as it is.
 done < <(sed 's/ || / OROR /g' proof/faults.txt | sed 's/ | /|/1; s/ | /|/1; s/ | /|/1' | sed 's/ OROR / || /g' | awk -F'|' 'NF{print}')
 exit "$failed"
--- a/proof/steward_test.go
+++ b/proof/steward_test.go
@@ -64,8 +64,8 @@
 
 // TestBadVersionIsStoppedAndWithdrawn rolls out a version that fails, or whose rated
 // quality is too low. The roll-out must be aborted before half of the requests go to
-// the version, and the version must receive no request later than a second after
-// that.
+// the version. The version must receive no request once the abort has had
+// healthyPropagationLimit to reach the entries.
 func TestBadVersionIsStoppedAndWithdrawn(t *testing.T) {
 	faults := map[string]func(si *testsite.Site){
 		"errors": func(si *testsite.Site) {
@@ -132,7 +132,7 @@
 }
 
 // TestAnotherStewardContinuesInterruptedRollout kills the steward that runs a
-// roll-out.
+// roll-out. The other steward must complete it.
 func TestAnotherStewardContinuesInterruptedRollout(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 2, Stewards: 2, Engines: 3}, func(t *testing.T, si *testsite.Site) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -156,6 +156,7 @@
 
 // taskHolder returns the number of the steward that holds a task, or 0 if none does.
 func taskHolder(si *testsite.Site, ta lease.Task) int {
+	// The numbers go one past the stewards that run, as one may have been killed.
 	for n := 1; n <= len(si.Stewards)+1; n++ {
 		da, ok := si.Stewards[testsite.StewardName(n)]
 		if !ok {
@@ -170,9 +171,10 @@
 	return 0
 }
 
-// TestPausedStewardIsFencedAfterLeaseExpiry lets a holder apply a change after its
-// lease expired and another one acquired the task. The store must reject the change
-// by its fencing token.
+// TestPausedStewardIsFencedAfterLeaseExpiry lets the first holder of a task apply a
+// change after its lease has expired and a second holder has acquired the task. The
+// change must be rejected because its fencing token is no longer that of the task's key
+// in the store.
 func TestPausedStewardIsFencedAfterLeaseExpiry(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 1, Engines: 1}, func(t *testing.T, si *testsite.Site) {
 		si.Apply(runningRollout(0.1))
@@ -184,7 +186,7 @@
 		qt.Assert(t, ok, qt.IsTrue)
 		ho, ok := ma.Holds("rollout/r")
 		qt.Assert(t, ok, qt.IsTrue)
-		// The holder is paused after it checked its lease, until the lease has
+		// The first holder is paused, with ho from its last check, until its lease has
 		// expired.
 		time.Sleep(5 * time.Second)
 		_, ok = ma.Holds("rollout/r")
@@ -258,8 +260,8 @@
 	}
 }
 
-// stewardLinks returns the links between a steward and the store, entry-1 and the
-// stewards, in both directions.
+// stewardLinks returns the links from a steward to the store, and those between it and
+// entry-1 and all stewards in both directions.
 func stewardLinks(n int) []link {
 	steward := testsite.Host(testsite.StewardName(n))
 	links := []link{{steward, testsite.StoreAddress}, {steward, testsite.PeerAddress(1)}, {testsite.Host(testsite.EntryName(1)), testsite.StewardAddress(n)}}
@@ -269,7 +271,7 @@
 	return links
 }
 
-// link is a direction of connections, from a host to an address.
+// link stands for the connections that a host opens to an address.
 type link struct {
 	from testsite.Host
 	to   string
--- a/proof/stream_test.go
+++ b/proof/stream_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// singleEntrySettings returns the settings for a site of one entry, which has no
-// peer to hold copies of its bills.
+// singleEntrySettings returns the settings for a site of one entry. It asks for no
+// copies of bills, as there is no peer to hold them.
 func singleEntrySettings() map[string]string { return map[string]string{"billing": "copies = 0"} }
 
 // TestStreamIsResumedAfterConnectionStalls silences the connections to the engine
@@ -142,8 +142,9 @@
 	})
 }
 
-// TestGracefulShutdownTruncatesNoAnswers drains and closes an entry under load while
-// callers still use its address for up to two seconds.
+// TestGracefulShutdownTruncatesNoAnswers drains and closes entry-1 under load, while
+// callers that learned its address before the drain still use it for up to two seconds.
+// No answer may be truncated, and every complete one must be billed once.
 func TestGracefulShutdownTruncatesNoAnswers(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 3, Engines: 3, Plains: 1}, func(t *testing.T, si *testsite.Site) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -154,7 +155,8 @@
 		for caller := range 12 {
 			wg.Go(func() {
 				for ctx.Err() == nil {
-					// Callers ask for the addresses and use them for two seconds.
+					// A caller asks another entry for the addresses, and uses the first
+					// of them for two seconds.
 					ads := si.Addresses(2 + caller%2)
 					expiresAt := time.Now().Add(2 * time.Second)
 					for len(ads) > 0 && time.Now().Before(expiresAt) && ctx.Err() == nil {
--- a/proof/version_test.go
+++ b/proof/version_test.go
@@ -89,8 +89,8 @@
 // request that names it.
 func TestWithdrawnVersionGetsNoRetries(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 1, Engines: 3, EntrySettings: map[string]string{"serving": "progress = 1s"}}, func(t *testing.T, si *testsite.Site) {
-		// The first attempts get no answer. The version is withdrawn before the
-		// entry retries them.
+		// The first attempt gets no answer, and a frozen engine does not run it. The
+		// version is withdrawn before the entry retries the request.
 		for _, en := range si.Engines {
 			en.SetFaults(standin.Faults{Freeze: true})
 		}
@@ -235,8 +235,8 @@
 	})
 }
 
-// TestLeavingEndpointGetsNoNewRequests checks that an endpoint that is drained, or whose
-// VM is leaving, receives its last request within three seconds of that.
+// TestLeavingEndpointGetsNoNewRequests marks an endpoint as draining, or its VM as
+// leaving. The endpoint must receive its last request within three seconds of the mark.
 func TestLeavingEndpointGetsNoNewRequests(t *testing.T) {
 	causes := map[string]func(si *testsite.Site){
 		"operator drains it": func(si *testsite.Site) { si.Apply(testsite.EngineRecord(1, `,"draining":true`)) },
