--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -12,23 +12,25 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// proxy forwards connections to an address over the loopback interface. Tests
-// make it reset, silence, refuse or delay them.
+// proxy listens on the loopback interface and forwards its connections to an address.
+// Tests make it reset, silence, refuse or delay them.
 type proxy struct {
 	to       string
 	listener net.Listener
 
-	mu    sync.Mutex
+	mu sync.Mutex
+	// conns holds the open connections: that of the client and that to the server for
+	// each forwarded connection.
 	conns map[net.Conn]bool
-	// silent holds the connections from which nothing is forwarded any more.
+	// silent holds the members of conns from which nothing is forwarded any more.
 	silent map[net.Conn]bool
-	// refuse tells whether new connections are closed at once.
+	// refuse reports whether new connections are closed at once.
 	refuse bool
 	// delay is added before each write.
 	delay time.Duration
 }
 
-// newProxy starts a proxy to an address. It ends with the test.
+// newProxy starts a proxy to an address. It is closed at the end of the test.
 func newProxy(t *testing.T, to string) *proxy {
 	li, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
@@ -70,8 +72,8 @@
 	}
 }
 
-// forward copies one direction of a connection until it ends. What a silent
-// connection sends is discarded.
+// forward copies what from sends to to, until one of them ends, and closes both. While
+// from is silent, what it sends is discarded.
 func (px *proxy) forward(from, to net.Conn) {
 	buf := make([]byte, 16<<10)
 	for {
@@ -97,7 +99,7 @@
 	px.mu.Unlock()
 }
 
-// each calls fn for each open connection, with the lock held.
+// each calls fn for each member of conns, with mu held.
 func (px *proxy) each(fn func(co net.Conn)) {
 	px.mu.Lock()
 	defer px.mu.Unlock()
@@ -116,21 +118,22 @@
 	})
 }
 
-// silence stops forwarding on the open connections without closing them. With
-// oneWay it marks every second end that it visits, in the random order of a map, so
-// that some connections still carry data in one direction.
+// silence stops forwarding on the open connections without closing them. With oneWay it
+// silences every second member of conns, in the random order of the map, so that some
+// forwarded connections still carry data in one direction.
 func (px *proxy) silence(oneWay bool) {
-	mark := false
+	second := false
 	px.each(func(co net.Conn) {
-		mark = !mark
-		if mark || !oneWay {
+		second = !second
+		if second || !oneWay {
 			px.silent[co] = true
 		}
 	})
 }
 
-// set sets whether new connections are refused, and the delay of all.
-func (px *proxy) set(refuse bool, delay time.Duration) {
+// setLink sets whether new connections are refused, and the delay before each write on
+// any connection.
+func (px *proxy) setLink(refuse bool, delay time.Duration) {
 	px.mu.Lock()
 	defer px.mu.Unlock()
 	px.refuse, px.delay = refuse, delay
--- a/soak/router_test.go
+++ b/soak/router_test.go
@@ -27,14 +27,16 @@
 	soakReplicas = 3
 	soakCallers  = 10
 	soakEvents   = 12
-	firstPort    = 9100
-	routeHost    = "soak.example"
+	// firstPort is the port for callers of router-0. Router n uses the five ports from
+	// firstPort+10*n on: callers, readiness, directory, peers and admin.
+	firstPort = 9100
+	routeHost = "soak.example"
 	// revocationLimit is how long a revoked key may still be accepted.
 	revocationLimit = 6 * time.Second
 )
 
-// routerSite runs routers as processes of their own. The stand-ins for the users'
-// platform run in the test's process, behind proxies.
+// routerSite runs routers as processes of their own. The stand-ins for the store and
+// for the services' replicas run in the test's process, behind proxies.
 type routerSite struct {
 	t        *testing.T
 	dir      string
@@ -52,8 +54,8 @@
 	complete   int
 	faults     map[string]int
 	violations []string
-	// unsafe holds the IDs of all unsafe requests, refused those that were refused
-	// as not run. Both are compared with what the replicas ran.
+	// unsafe holds the IDs of all unsafe requests, and refused those of them that were
+	// refused as not run. Both are compared with what the replicas ran.
 	refused []string
 	unsafe  []string
 	// restarting holds the routers that are being restarted, with the time at which
@@ -180,14 +182,15 @@
 		{"reset", px.reset},
 		{"silence", func() { px.silence(false) }},
 		{"silence one way", func() { px.silence(true) }},
-		{"refuse", func() { px.set(true, 0) }},
-		{"delay", func() { px.set(false, 100*time.Millisecond) }},
-		{"restore link", func() { px.set(false, 0) }},
+		{"refuse", func() { px.setLink(true, 0) }},
+		{"delay", func() { px.setLink(false, 100*time.Millisecond) }},
+		{"restore link", func() { px.setLink(false, 0) }},
 		{"store down", func() { rs.store.SetFaults(standin.Faults{Down: true}) }},
 		{"store frozen", func() { rs.store.SetFaults(standin.Faults{Freeze: true}) }},
 		{"store loses responses", func() { rs.store.SetFaults(standin.Faults{LoseAnswers: 3}) }},
 		{"store recovered", func() { rs.store.SetFaults(standin.Faults{}) }},
 		{"store compacted", rs.store.Compact},
+		// Listed twice, as these faults shall come twice as often as each other.
 		{"replicas", rs.setReplicaFaults},
 		{"replicas", rs.setReplicaFaults},
 		{"revoke", rs.revoke},
@@ -209,8 +212,8 @@
 	}
 }
 
-// restart ends a router by a signal and starts it again, without waiting for that. It
-// does nothing if the router is being restarted already.
+// restart ends a router by a signal and starts it again, in the background. It sends
+// no signal if the router is being restarted already.
 func (rs *routerSite) restart(n int, sg syscall.Signal) {
 	rs.mu.Lock()
 	_, busy := rs.restarting[n]
@@ -231,8 +234,7 @@
 	})
 }
 
-// pause stops a router by a signal and lets it continue after du, without waiting for
-// that.
+// pause stops a router by a signal and lets it continue after du, in the background.
 func (rs *routerSite) pause(n int, du time.Duration) {
 	rs.actions.Go(func() {
 		rs.routers[n].signal(syscall.SIGSTOP)
@@ -241,14 +243,14 @@
 	})
 }
 
-// revoke adds a key and removes it at once.
+// revoke adds a key and revokes it at once, by a configuration without it.
 func (rs *routerSite) revoke() {
 	rs.configure("temporary-key")
 	rs.configure("unused-key")
 }
 
-// checkRevocation adds and removes a key without a fault, and checks that no router
-// accepts the key after revocationLimit.
+// checkRevocation adds and revokes a key while no fault is active, and checks that no
+// router accepts the key after revocationLimit.
 func (rs *routerSite) checkRevocation() {
 	rs.configure("last-key")
 	rs.configure("unused-key")
@@ -269,7 +271,7 @@
 		re.SetFaults(standin.ReplicaFaults{})
 	}
 	for _, px := range rs.proxies {
-		px.set(false, 0)
+		px.setLink(false, 0)
 		px.reset()
 	}
 	rs.actions.Wait()
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -40,7 +40,7 @@
 	entries  = 4
 	stewards = 2
 	engines  = 3
-	desks    = 2
+	desks    = 2 // endpoints of the service "desk"
 	callers  = 12
 	// recoveryTime is the time from the end of the faults to the check of the
 	// invariants. Until then every bill must be in the store.
@@ -86,7 +86,7 @@
 	_ = pr.cmd.Wait()
 }
 
-// site is the processes of a site, and what the callers saw.
+// site holds the processes of a site and what its callers received.
 type site struct {
 	t        *testing.T
 	dir      string
@@ -105,8 +105,10 @@
 	notRun []string
 	// sessions maps a session to its newest token.
 	sessions map[string]string
-	moved    int
-	wrong    int
+	// moved counts the answers of another version than that of their session, wrong
+	// those with a text other than the expected one.
+	moved int
+	wrong int
 }
 
 // TestSoak sends chat requests and calls to entries while faults are injected. It
@@ -322,7 +324,7 @@
 		si.requests++
 		si.mu.Unlock()
 		if i%3 == 2 {
-			si.desk(client, address, fmt.Sprintf("%d-%d", n, i))
+			si.checkout(client, address, fmt.Sprintf("%d-%d", n, i))
 			continue
 		}
 		si.chat(client, address, n, i)
@@ -394,9 +396,10 @@
 	return cl.V
 }
 
-// desk sends a call that must run at most once, and records whether the answer says
-// that it was not run.
-func (si *site) desk(client *http.Client, address, key string) {
+// checkout sends a call to the service "desk" that must run at most once. It records
+// the call's key if the answer says that it was not run, or else the bill of an answer
+// with status 200.
+func (si *site) checkout(client *http.Client, address, key string) {
 	rq, err := http.NewRequest(http.MethodPost, "http://"+address+"/v1/services/desk/checkout", strings.NewReader("{}"))
 	qt.Check(si.t, err, qt.IsNil)
 	rq.Header.Set("Authorization", "Bearer chest")
@@ -430,6 +433,7 @@
 			ran[key] += count
 		}
 	}
+	// falseNotRun counts the calls that ran although they were answered as not run.
 	runTwice, falseNotRun := 0, 0
 	for _, count := range ran {
 		if count > 1 {
