--- a/spec/bill.pml
+++ b/spec/bill.pml
@@ -19,7 +19,7 @@
 
 byte part[PARTS];         /* bit set of the bills in each part; 0: no such part */
 byte times_stored[2];     /* number of parts that contain each bill */
-bool answered[2];         /* the answer of the bill has ended */
+bool answered[2];         /* for each bill: its answer has ended */
 byte owner_bills, peer_bills[2]; /* bit sets of the bills that each daemon has */
 bool owner_killed;
 byte sealers_done;        /* daemons, of three, that have ended */
@@ -33,8 +33,9 @@
 }
 
 /*
- * Seals own_bills, in parts from first_part on. After a lost response, or when the
- * part exists, reads the parts and tries again with the bills that are missing.
+ * Seals own_bills, in parts from first_part on. First writes all of them to first_part,
+ * without reading. After a lost response, or when the part exists, reads the parts and
+ * writes the bills that are missing to the next free part.
  */
 inline seal(own_bills, first_part) {
 	part_number = first_part;
@@ -69,7 +70,7 @@
 				:: else -> missing = own_bills
 				fi
 #else
-				missing = own_bills & (7 - found)
+				missing = own_bills & (7 - found) /* the bills of own_bills that are not in found */
 #endif
 			}
 		fi
@@ -103,7 +104,10 @@
 
 proctype Peer(byte me) {
 	byte part_number, missing, found, own_bills, tries;
-	/* The peer may seal once before the owner has ended, and seals after that. */
+	/*
+	 * The peer may seal once while the owner is alive. It then waits until the owner has
+	 * ended, which is always the first daemon to end, and seals again.
+	 */
 	do
 	:: tries == 0 ->
 		tries++;
--- a/spec/check.sh
+++ b/spec/check.sh
@@ -8,8 +8,9 @@
 trap 'rm -rf "$work"' EXIT
 failed=0
 
-# errors SPEC [FAULT]: prints the number of errors that Spin finds. Fails when the
-# search ran out of depth, memory or time without finding one.
+# errors SPEC [FAULT]: prints the number of errors that Spin finds in SPEC.pml, with
+# FAULT defined if it is given. Fails if the search ends early, for lack of depth, memory
+# or time, without finding one.
 errors() {
   local dir="$work/$1-${2:-none}"
   mkdir -p "$dir"
--- a/spec/claim.pml
+++ b/spec/claim.pml
@@ -1,18 +1,18 @@
 /*
  * Claims of calls that may not be repeated (package claim).
  *
- * Two entries try to claim the same call, by commits of one key in the store. A
- * commit takes effect only if the key still has the revision that it compares. A
+ * Two entries try to claim the same call, by commits that write one key in the store.
+ * A commit takes effect only if the key still has the revision that it compares. A
  * commit may be delayed, and its response may be lost. An entry that stops waiting
- * for the response to its claim releases the claim in the background. An entry may
- * be killed at any point.
+ * for the response to its claim reports the call as not run and releases the claim in
+ * the background. An entry may be killed at any point.
  *
  * Checked: the call is sent at most once, and an entry that reports "not run" has not
  * sent the call and does not send it later.
  *
  * Seeded faults: FAULT_RESEND sends the call a second time. FAULT_GIVE_UP runs the
- * call although no response to the claim arrived. FAULT_NO_COMPARE writes without
- * comparing the revision.
+ * call when the entry stops waiting for the response to its claim. FAULT_NO_COMPARE
+ * writes without comparing the revision.
  */
 #define ENTRIES 2
 #define TRIES 2
@@ -30,8 +30,8 @@
 
 /* Commits on their way to the store: writer, compared revision, new state. */
 chan commits = [3] of { byte, byte, mtype };
-/* Responses to each entry: whether the commit was applied; then state, owner and
- * revision of the key. */
+/* Responses to each entry: whether the commit was applied; then the state, owner and
+ * revision that the key has after it. A refused commit reports the present ones. */
 chan answers[ENTRIES] = [2] of { bool, mtype, byte, byte };
 
 /* Receives the commits in any order. */
@@ -60,7 +60,7 @@
 	od
 }
 
-/* Sends a commit, which is lost when too many are on their way. */
+/* Sends a commit for entry "me". It is lost if three are on their way already. */
 inline submit(new_state) {
 	if
 	:: nfull(commits) -> commits!me, compare, new_state
--- a/spec/configuration.pml
+++ b/spec/configuration.pml
@@ -6,8 +6,8 @@
  * after its own revision, and takes newer states from a peer. A peer's response may be
  * out of date when it is read.
  *
- * Checked: a daemon's revision never falls, except when its VM is replaced, and its
- * records are those of the store at its revision.
+ * Checked: a daemon's revision never decreases, except when its VM is replaced, and its
+ * records are those that the store had at that revision.
  *
  * Seeded faults: FAULT_TAKE_OLDER takes a peer's state whatever its revision.
  * FAULT_GAP continues the watch at the store's newest revision, which skips changes.
@@ -17,9 +17,10 @@
 
 byte store_revision;
 byte last_change[2];   /* revision at which each record last changed, in the store */
-byte record_at[8];     /* record_at[r*2+i]: last change of record i as of revision r */
+/* A record is represented by the revision of its last change. */
+byte record_at[8];     /* record_at[r*2+i]: record i as the store had it at revision r */
 byte revision[DAEMONS];
-byte record[4];        /* record[d*2+i]: last change of record i that daemon d has */
+byte record[4];        /* record[d*2+i]: record i as daemon d has it */
 /* The response of a peer on its way to each daemon: revision, records 0 and 1. */
 chan answers[DAEMONS] = [1] of { byte, byte, byte };
 
--- a/spec/lease.pml
+++ b/spec/lease.pml
@@ -11,8 +11,9 @@
  * endpoint that checks tokens carries out no order with an older token after one with
  * a newer token.
  *
- * Seeded faults: FAULT_NO_FENCE writes without comparing the lease's key.
- * FAULT_NO_TOKEN makes the endpoint carry out every order.
+ * Seeded faults: FAULT_NO_FENCE writes a change without comparing the token of the
+ * task's key. FAULT_NO_TOKEN makes the endpoint carry out every order, whatever its
+ * token.
  */
 #define STEWARDS 3
 #define ROUNDS 2
@@ -53,6 +54,7 @@
 		:: token != 0 ->
 			/* The steward takes itself for the holder. It may be paused here for
 			 * any time. */
+			/* Writes a change of configuration. */
 			atomic {
 				if
 #ifdef FAULT_NO_FENCE
@@ -66,6 +68,7 @@
 				:: else -> skip /* the store refuses the write: the token does not match */
 				fi
 			}
+			/* Sends an order to the endpoint. */
 			atomic {
 				if
 #ifdef FAULT_NO_TOKEN
@@ -76,7 +79,7 @@
 					highest_seen_token = (token > highest_seen_token -> token : highest_seen_token);
 					assert(token >= executed_token);
 					executed_token = token
-				:: else -> skip
+				:: else -> skip /* the endpoint refuses the order */
 				fi
 			}
 			/* Release: deletes the key if it still has the steward's token. */
