--- a/tools/generated.sh
+++ b/tools/generated.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Checks that rpc/ matches the code generated from schema/.
+# Checks that rpc/ is what tools/generate.sh generates from schema/ now.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 out="$(mktemp -d)"
--- a/tools/lint.sh
+++ b/tools/lint.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Checks all Go files with gofmt and golangci-lint. Installs golangci-lint at the pinned
-# version unless it is there.
+# Checks all Go files with gofmt and golangci-lint. Installs golangci-lint in .tools
+# unless the pinned version is there.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 version=v2.15.0
--- a/tools/test.sh
+++ b/tools/test.sh
@@ -20,6 +20,7 @@
 trap 'rm -rf "$work"' EXIT
 go test -race -c -o "$work/proof.test" ./proof
 cd proof
+# one DIR TEST: runs TEST with DIR/proof.test, and prints its output only if it fails.
 one() {
   local log="$1/$2.log" try
   for try in 1 2 3; do
