--- a/proof/bill_test.go
+++ b/proof/bill_test.go
@@ -165,8 +165,8 @@
 }
 
 // TestRetriesAndRepeatedRequestIDsAreBilledOnce checks that an answer that took
-// several attempts has one bill, and that of two answers to the same request ID the
-// second one's bill is stored as repeated.
+// several attempts has one bill. Of two answers to the same request ID, the bill of the
+// second must be stored as repeated.
 func TestRetriesAndRepeatedRequestIDsAreBilledOnce(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 2, Engines: 3}, func(t *testing.T, si *testsite.Site) {
 		si.Engines["engine-1"].SetFaults(standin.Faults{FailModel: "m-1"})
--- a/proof/limit_test.go
+++ b/proof/limit_test.go
@@ -155,7 +155,8 @@
 
 // TestRetriesDoNotAmplifyLoad freezes one of three endpoints and sends 300 requests.
 // The endpoints may run at most a tenth more requests than the callers sent, and at
-// most 10 of the 300 may fail.
+// most 10 of the 300 may fail. Attempts at the frozen endpoint are not counted, as it
+// does not run them.
 func TestRetriesDoNotAmplifyLoad(t *testing.T) {
 	withSite(t, testsite.Options{Entries: 2, Engines: 3}, func(t *testing.T, si *testsite.Site) {
 		received, sent := 0, func() int {
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -122,10 +122,10 @@
 // silences every second member of conns, in the random order of the map, so that some
 // forwarded connections still carry data in one direction.
 func (px *proxy) silence(oneWay bool) {
-	second := false
+	odd := false
 	px.each(func(co net.Conn) {
-		second = !second
-		if second || !oneWay {
+		odd = !odd
+		if odd || !oneWay {
 			px.silent[co] = true
 		}
 	})
--- a/soak/router_test.go
+++ b/soak/router_test.go
@@ -190,7 +190,7 @@
 		{"store loses responses", func() { rs.store.SetFaults(standin.Faults{LoseAnswers: 3}) }},
 		{"store recovered", func() { rs.store.SetFaults(standin.Faults{}) }},
 		{"store compacted", rs.store.Compact},
-		// Listed twice, as these faults shall come twice as often as each other.
+		// Listed twice, so that these faults come twice as often as each of the others.
 		{"replicas", rs.setReplicaFaults},
 		{"replicas", rs.setReplicaFaults},
 		{"revoke", rs.revoke},
