--- a/cmd/tanagerctl/daemon.go
+++ b/cmd/tanagerctl/daemon.go
@@ -28,7 +28,7 @@
 		return command.Exit(command.ExitUsage, err)
 	}
 	rq.Header.Set("Authorization", "Bearer "+opt.key)
-	rs, err := network.Real().FreshClient().Do(rq)
+	rs, err := network.Real().UnpooledClient().Do(rq)
 	if err != nil {
 		return command.Exit(command.ExitUnreachable, err)
 	}
@@ -129,7 +129,7 @@
 
 func writeSums(wr io.Writer, li bill.Listing) {
 	for _, su := range bill.Sum(li.Bills) {
-		_, _ = fmt.Fprintf(wr, "%-24s %-24s bills=%d in=%d out=%d cost=%d\n", su.Organisation, su.What, su.Bills, su.InputTokens, su.OutputTokens, su.Cost)
+		_, _ = fmt.Fprintf(wr, "%-24s %-24s bills=%d in=%d out=%d cost=%d\n", su.Organisation, su.Resource, su.Bills, su.InputTokens, su.OutputTokens, su.Cost)
 	}
 }
 
--- a/entry/admin.go
+++ b/entry/admin.go
@@ -16,10 +16,10 @@
 	"tanagerpoint.example/tanager/vm"
 )
 
-// adminRoutes adds the entry's own routes for operators.
+// adminRoutes registers the operators' routes that only an entry has.
 func (da *Daemon) adminRoutes(ro gin.IRoutes) {
 	ro.GET("/v1/explain/:id", func(co *gin.Context) {
-		ex, ok := da.explains.get(co.Param("id"))
+		ex, ok := da.explanations.get(co.Param("id"))
 		if !ok {
 			co.JSON(http.StatusNotFound, admin.Problem{Error: "this entry does not remember the request"})
 			return
@@ -28,17 +28,17 @@
 	})
 	ro.POST("/v1/drain", func(co *gin.Context) {
 		da.group.Go(da.Drain)
-		co.JSON(http.StatusAccepted, DrainAnswer{Draining: true, InFlight: da.inFlight.Load()})
+		co.JSON(http.StatusAccepted, DrainResponse{Draining: true, InFlight: da.inFlight.Load()})
 	})
 }
 
-// DrainAnswer tells that a graceful shutdown has begun.
-type DrainAnswer struct {
+// DrainResponse is the response of POST /v1/drain, sent when draining has begun.
+type DrainResponse struct {
 	Draining bool  `json:"draining"`
 	InFlight int64 `json:"in_flight"`
 }
 
-// State is the entry's dump.
+// State is the state of an entry, as GET /v1/dump returns it.
 type State struct {
 	VM             vm.ID                                 `json:"vm"`
 	Incarnation    peer.Incarnation                      `json:"incarnation"`
@@ -63,21 +63,22 @@
 	StreamsResumed int64                                 `json:"streams_resumed"`
 }
 
-// PoolState is one queue's part of the dump.
+// PoolState is the state of one pool's queue in the dump. Running and Waiting are
+// numbers of requests, Capacity is in slots.
 type PoolState struct {
 	Running  int     `json:"running"`
 	Waiting  int     `json:"waiting"`
 	Capacity float64 `json:"capacity"`
 }
 
-// Dump gives the entry's state.
+// Dump returns the entry's State.
 func (da *Daemon) Dump() any {
 	se := da.holder.Set()
 	st := State{
 		VM: da.peers.VM(), Incarnation: da.peers.Incarnation(), Started: da.started,
 		Draining: da.draining.Load(), Isolated: da.isolated.Load(), InFlight: da.inFlight.Load(),
 		PolicyRevision: se.Revision, PolicyRecords: se.Len(), PolicyEvidence: da.holder.Evidence(),
-		WatchesOpened: da.watcher.Opened(), StoreCalls: da.store.Calls(),
+		WatchesOpened: da.watcher.WatchesOpened(), StoreCalls: da.store.Calls(),
 		Members: da.peers.Members(), Pools: map[string]PoolState{}, Endpoints: da.tracker.States(),
 		Pins: da.pins.Len(), BillsUnsealed: da.book.Unsealed(), BillsHeld: da.book.Held(),
 		RetriesLeft: da.budget.Left(), AnswersDropped: da.client.Dropped(), StreamsResumed: da.client.Resumed(),
@@ -86,7 +87,7 @@
 		st.PolicyFindings = append(st.PolicyFindings, fi.String())
 	}
 	da.pools.each(func(id poolID, pl *pool) {
-		pl.gate.Change(func(qu *admission.Queue, _ time.Time) {
+		pl.gate.Update(func(qu *admission.Queue, _ time.Time) {
 			running, waiting := qu.Load()
 			st.Pools[string(id)] = PoolState{Running: running, Waiting: waiting, Capacity: float64(qu.Capacity())}
 		})
@@ -94,7 +95,7 @@
 	return st
 }
 
-// addGauges adds the metrics that are read when they are scraped.
+// addGauges registers the metrics whose values are read at each scrape.
 func (da *Daemon) addGauges() error {
 	for _, ga := range []struct {
 		name, help string
--- a/entry/cascades.go
+++ b/entry/cascades.go
@@ -12,31 +12,36 @@
 	"tanagerpoint.example/tanager/rpc"
 )
 
-// RatingsPrefix is the prefix of the stewards' items with rating sums, one
-// for each cascade.
+// RatingsPrefix is the key prefix of the items in which stewards publish rating
+// sums. The rest of the key is the cascade's ID.
 const RatingsPrefix = "ratings/"
 
-// cascades holds the choosers.
+// cascades holds a chooser for each cascade.
 //
-// mu guards the choosers. The board's lock is taken before it.
+// mu guards choosers and seenVersions. The board is read before mu is locked,
+// never while it is held.
 type cascades struct {
 	peers    *peer.Group
 	mu       sync.Mutex
 	choosers map[policy.CascadeID]*cascade.Chooser
-	seen     map[string]peer.Version
+	// seenVersions are the versions of the items last processed, by key.
+	seenVersions map[string]peer.Version
 }
 
 func newCascades(pe *peer.Group) *cascades {
-	return &cascades{peers: pe, choosers: map[policy.CascadeID]*cascade.Chooser{}, seen: map[string]peer.Version{}}
+	return &cascades{peers: pe, choosers: map[policy.CascadeID]*cascade.Chooser{}, seenVersions: map[string]peer.Version{}}
 }
 
-func (ca *cascades) choose(rec policy.Cascade, work cascade.Work, arms []cascade.Arm) cascade.Choice {
+// choose returns the arm for one request and updates the chooser's state.
+func (ca *cascades) choose(rec policy.Cascade, work cascade.WorkKind, arms []cascade.Arm) cascade.Choice {
 	ca.mu.Lock()
 	defer ca.mu.Unlock()
-	return ca.get(rec.ID).Choose(work, arms, rec.QualityTarget)
+	return ca.getLocked(rec.ID).Choose(work, arms, rec.QualityTarget)
 }
 
-func (ca *cascades) get(id policy.CascadeID) *cascade.Chooser {
+// getLocked returns the cascade's chooser, and creates it if there is none. mu must
+// be held.
+func (ca *cascades) getLocked(id policy.CascadeID) *cascade.Chooser {
 	ch, ok := ca.choosers[id]
 	if !ok {
 		ch = cascade.NewChooser(uint64(time.Now().UnixNano()))
@@ -45,23 +50,25 @@
 	return ch
 }
 
-// refresh takes in the stewards' newest rating sums.
+// refresh sets the choosers' estimates from rating sums that stewards have
+// published since the last call, and removes choosers whose cascade is not in the
+// policy.
 func (ca *cascades) refresh(se *policy.Set) {
-	its := ca.peers.Board().Under(RatingsPrefix)
+	its := ca.peers.Table().List(RatingsPrefix)
 	ca.mu.Lock()
 	defer ca.mu.Unlock()
 	for _, it := range its {
-		if ca.seen[it.Key] == it.Version {
+		if ca.seenVersions[it.Key] == it.Version {
 			continue
 		}
-		ca.seen[it.Key] = it.Version
+		ca.seenVersions[it.Key] = it.Version
 		var ras rpc.Ratings
 		if proto.Unmarshal(it.Value, &ras) != nil {
 			continue
 		}
-		ch := ca.get(policy.CascadeID(it.Key[len(RatingsPrefix):]))
+		ch := ca.getLocked(policy.CascadeID(it.Key[len(RatingsPrefix):]))
 		for _, su := range ras.GetSums() {
-			ch.SetEstimate(cascade.Work(su.GetWork()), policy.VersionID(su.GetVersion()), su.GetWeight(), su.GetMean())
+			ch.SetEstimate(cascade.WorkKind(su.GetWork()), policy.VersionID(su.GetVersion()), su.GetWeight(), su.GetMean())
 		}
 	}
 	for id := range ca.choosers {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,6 +1,6 @@
-// Package entry serves callers on an entry VM: it authenticates, admits,
-// routes, retries, streams and bills their requests, and tells them which
-// entries to use.
+// Package entry implements the daemon of an entry VM. It serves the callers'
+// API: it authenticates, admits, routes, retries, streams and bills requests,
+// and lists the entries that callers may use.
 package entry
 
 import (
@@ -35,46 +35,46 @@
 )
 
 const (
-	readHeaderTimeout = 5 * time.Second
-	readBodyTimeout   = 15 * time.Second
-	callerWriteLimit  = 10 * time.Second
-	maxHeaderBytes    = 32 << 10
-	tickInterval      = 100 * time.Millisecond
-	refreshInterval   = 300 * time.Millisecond
-	publishInterval   = 400 * time.Millisecond
-	pinSpreadInterval = time.Second
+	readHeaderTimeout   = 5 * time.Second
+	readBodyTimeout     = 15 * time.Second
+	callerWriteTimeout  = 10 * time.Second
+	maxHeaderBytes      = 32 << 10
+	tickInterval        = 100 * time.Millisecond
+	refreshInterval     = 300 * time.Millisecond
+	publishInterval     = 400 * time.Millisecond
+	pinHandoverInterval = time.Second
 )
 
-// Daemon is one entry. Its parts are safe for concurrent use, and each states
-// its own lock; no lock of one part is held during a call of another, except
-// where a part says so.
+// Daemon is one entry process. Its components are safe for concurrent use, and
+// each documents its own lock. No component calls another while it holds its
+// lock, except where it documents that it does.
 type Daemon struct {
-	set     *rpc.EntrySettings
-	net     network.Network
-	log     *event.Log
-	metrics *metric.Metrics
-	group   *worker.Group
-	started time.Time
+	settings *rpc.EntrySettings
+	net      network.Network
+	log      *event.Log
+	metrics  *metric.Metrics
+	group    *worker.Group
+	started  time.Time
 
-	store    *store.Client
-	holder   *configuration.Holder
-	watcher  *configuration.Watcher
-	vms      *vm.List
-	peers    *peer.Group
-	client   *endpoint.Client
-	tracker  *placement.Tracker
-	pools    *pools
-	budget   *retry.Budget
-	pins     *session.Pins
-	signer   *session.Signer
-	claimer  *claim.Claimer
-	book     *bill.Book
-	cascades *cascades
-	rollouts *rollouts
-	ratings  *ratingSubmitter
-	explains *explains
-	orgs     *inFlights
-	conns    *connections
+	store        *store.Client
+	holder       *configuration.Holder
+	watcher      *configuration.Watcher
+	vms          *vm.List
+	peers        *peer.Group
+	client       *endpoint.Client
+	tracker      *placement.Tracker
+	pools        *pools
+	budget       *retry.Budget
+	pins         *session.Pins
+	signer       *session.Signer
+	claimer      *claim.Claimer
+	book         *bill.Book
+	cascades     *cascades
+	rollouts     *rollouts
+	ratings      *ratingSubmitter
+	explanations *explanations
+	orgLimits    *inFlightLimiter
+	conns        *connections
 
 	draining atomic.Bool
 	isolated atomic.Bool
@@ -82,21 +82,22 @@
 	servers  []*http.Server
 }
 
-// New gives a daemon; Start makes it serve.
+// New returns a daemon that is not yet started; Start makes it serve.
 func New(es *rpc.EntrySettings, ne network.Network, lo *event.Log) (*Daemon, error) {
 	me, err := metric.New()
 	if err != nil {
 		return nil, eris.Wrap(err, "entry.New")
 	}
-	da := &Daemon{set: es, net: ne, log: lo, metrics: me, group: worker.NewGroup(), started: time.Now(), conns: newConnections()}
-	da.connect()
-	da.decide()
+	da := &Daemon{settings: es, net: ne, log: lo, metrics: me, group: worker.NewGroup(), started: time.Now(), conns: newConnections()}
+	da.initClients()
+	da.initServing()
 	return da, eris.Wrap(da.addGauges(), "entry.New")
 }
 
-// connect makes the parts that reach others.
-func (da *Daemon) connect() {
-	es := da.set
+// initClients creates the components that communicate with the store, the
+// platform, the peers and the endpoints.
+func (da *Daemon) initClients() {
+	es := da.settings
 	da.store = store.NewClient(store.OptionsOf(es.GetStore(), da.net.Dial))
 	prefix := store.Key(es.GetStore().GetPrefix())
 	da.holder = configuration.NewHolder(da.log)
@@ -112,42 +113,47 @@
 	}, da.store, da.peers, da.log)
 }
 
-// decide makes the parts that hold the decisions.
-func (da *Daemon) decide() {
+// initServing creates the components that route, retry and account for
+// requests. It requires the clients of initClients.
+func (da *Daemon) initServing() {
 	da.tracker = placement.NewTracker(uint64(time.Now().UnixNano()))
 	da.pools = newPools(da)
-	da.budget = retry.NewBudget(da.set.GetServing().GetRetryBudget())
+	da.budget = retry.NewBudget(da.settings.GetServing().GetRetryBudget())
 	da.pins = session.NewPins(da.peers)
-	da.signer = session.NewSigner(da.set.GetPeers().GetSharedKey())
+	da.signer = session.NewSigner(da.settings.GetPeers().GetSharedKey())
 	da.cascades = newCascades(da.peers)
 	da.rollouts = newRollouts(da.peers, da.holder, da.log)
-	da.explains = newExplains()
-	da.orgs = newInFlights()
-	if ur := da.set.GetPlatform().GetRatingUrl(); ur != "" {
+	da.explanations = newExplanations()
+	da.orgLimits = newInFlightLimiter()
+	if ur := da.settings.GetPlatform().GetRatingUrl(); ur != "" {
 		da.ratings = newRatingSubmitter(rating.NewService(ur, da.net))
 	}
 }
 
+// peerOptions returns this entry's options in the peer group. The address
+// published to callers is the public one, or the listener's when none is set.
 func (da *Daemon) peerOptions() peer.Options {
-	es := da.set
+	es := da.settings
 	public := es.GetListen().GetCallersPublic()
 	if public == "" {
 		public = es.GetListen().GetCallers()
 	}
 	opt := peer.OptionsOf(es, peer.RoleEntry)
 	opt.Self.CallersAddress = public
-	opt.Listed, opt.Describe = da.vms.EntryAddresses, da.describe
+	opt.PeerAddresses, opt.Describe = da.vms.EntryAddresses, da.describeMember
 	return opt
 }
 
-func (da *Daemon) describe(me *rpc.Member) {
+// describeMember sets the fields of this entry's member record that change while
+// it runs.
+func (da *Daemon) describeMember(me *rpc.Member) {
 	me.Draining = da.draining.Load()
-	me.InFlight = roughly(da.inFlight.Load())
+	me.InFlight = roundDown(da.inFlight.Load())
 }
 
-// roughly rounds down to two significant bits, so that the members' states
-// need not be sent again for every request.
-func roughly(n int64) int64 {
+// roundDown rounds n down to two significant bits, so that the member record
+// changes, and is sent to the peers again, less often than once per request.
+func roundDown(n int64) int64 {
 	if n < 4 {
 		return n
 	}
@@ -155,9 +161,10 @@
 	return n >> shift << shift
 }
 
-// Start opens the listeners and starts the daemon's work.
+// Start opens the listeners for peers, operators and callers and starts the
+// background goroutines. It returns an error when a listener cannot be opened.
 func (da *Daemon) Start() error {
-	ls := da.set.GetListen()
+	ls := da.settings.GetListen()
 	peers := peer.NewServer(da.peers, da.book, da.pins)
 	for _, sv := range []struct {
 		address string
@@ -174,7 +181,7 @@
 	da.group.Go(da.watcher.Run)
 	da.group.Go(da.vms.Run)
 	da.group.Go(da.peers.Run)
-	da.group.Go(func(ctx context.Context) { da.pins.Run(ctx, pinSpreadInterval) })
+	da.group.Go(func(ctx context.Context) { da.pins.Run(ctx, pinHandoverInterval) })
 	da.group.Every(tickInterval, da.tick)
 	da.group.Every(refreshInterval, da.refresh)
 	da.group.Every(publishInterval, da.publish)
@@ -186,42 +193,45 @@
 }
 
 func (da *Daemon) serve(address string, ha http.Handler) error {
-	sv := &http.Server{Handler: ha, ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes, ConnState: da.conns.note}
+	sv := &http.Server{Handler: ha, ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes, ConnState: da.conns.track}
 	da.servers = append(da.servers, sv)
 	return da.net.Serve(da.group, address, sv, func(err error) {
 		da.log.Warn(event.ListenerFailed, err, event.Fields{"address": address})
 	})
 }
 
-// tick brings the decisions up to the present.
+// tick updates the isolation state and advances the queues to the current time.
 func (da *Daemon) tick(context.Context) {
-	da.noteIsolation()
+	da.updateIsolation()
 	da.pools.tick()
 }
 
-// refresh processes the reports of the other daemons.
+// refresh processes what the other daemons have published: usage, version health
+// and rating sums.
 func (da *Daemon) refresh(context.Context) {
 	da.pools.refresh()
 	da.rollouts.refresh()
 	da.cascades.refresh(da.holder.Set())
 }
 
-// publish tells the other entries of this one's work.
+// publish sends this entry's usage and its health counts of candidate versions to
+// the other daemons.
 func (da *Daemon) publish(context.Context) {
 	da.pools.publish()
 	da.rollouts.publish()
 }
 
-// Drain is a graceful shutdown's first part: the daemon leaves the address
-// answers, waits until callers have let go of its address, and until every
-// request has ended or ctx has.
+// Drain is the first phase of a graceful shutdown. It removes this entry from the
+// responses of /v1/entries, waits for address_keep, after which callers no longer
+// use its address, and then blocks until no request is in flight or ctx is done.
+// A second call returns at once.
 func (da *Daemon) Drain(ctx context.Context) {
 	if da.draining.Swap(true) {
 		return
 	}
 	da.log.Info(event.Draining, event.Fields{"in_flight": da.inFlight.Load()})
 	da.peers.Announce(ctx)
-	worker.Sleep(ctx, da.set.GetServing().GetAddressKeep().AsDuration())
+	worker.Sleep(ctx, da.settings.GetServing().GetAddressKeep().AsDuration())
 	for da.inFlight.Load() > 0 {
 		if !worker.Sleep(ctx, tickInterval/2) {
 			return
@@ -229,8 +239,9 @@
 	}
 }
 
-// Close ends the daemon. Requests still in service are cut off, so Drain comes
-// first in a graceful shutdown; bills are sealed until ctx ends.
+// Close stops the daemon. It closes the connections of requests in flight, so a
+// graceful shutdown calls Drain first. It seals the remaining bills until ctx is
+// done.
 func (da *Daemon) Close(ctx context.Context) {
 	for _, sv := range da.servers {
 		_ = sv.Close()
@@ -249,8 +260,9 @@
 	da.log.Info(event.Stopped, nil)
 }
 
-// ForcePolicy brings records into force without a store, as a peer's would be.
-func (da *Daemon) ForcePolicy(records []policy.Stored) {
+// ApplyPolicy adds records to the policy in force without a store, as if a peer
+// had sent them. The policy's revision becomes the newest of the records'.
+func (da *Daemon) ApplyPolicy(records []policy.Stored) {
 	newest := store.Revision(0)
 	for _, st := range records {
 		newest = max(newest, st.ModRevision)
@@ -258,19 +270,19 @@
 	da.holder.Update(newest, records)
 }
 
-// Handler gives the callers' listener's routes.
+// Handler returns the HTTP handler of the callers' API.
 func (da *Daemon) Handler() http.Handler {
 	en := gin.New()
 	en.HandleMethodNotAllowed = true
 	en.Use(gin.CustomRecoveryWithWriter(nil, func(co *gin.Context, cause any) {
 		da.log.Warn(event.RequestPanicked, eris.Errorf("%v", cause), event.Fields{"stack": string(debug.Stack())})
-		refuse(co, problem{status: http.StatusInternalServerError, code: "internal", ran: RanUnknown, message: "internal error"})
+		abortWithProblem(co, problem{status: http.StatusInternalServerError, code: "internal", ran: RanUnknown, message: "internal error"})
 	}))
 	en.NoRoute(func(co *gin.Context) {
-		refuse(co, problem{status: http.StatusNotFound, code: "unknown_path", message: "no such path"})
+		abortWithProblem(co, problem{status: http.StatusNotFound, code: "unknown_path", message: "no such path"})
 	})
 	en.GET("/v1/entries", da.handleEntries)
-	ca := en.Group("/", da.limit, da.authenticate)
+	ca := en.Group("/", da.limitRequests, da.authenticate)
 	ca.POST("/v1/chat/completions", da.handleChat)
 	ca.GET("/v1/models", da.handleModels)
 	ca.Any("/v1/services/:service/*path", da.handleService)
--- a/entry/explain.go
+++ b/entry/explain.go
@@ -11,32 +11,35 @@
 )
 
 const (
-	// maxExplained is how many requests are remembered.
-	maxExplained = 4096
-	// maxSteps bounds the steps remembered of one request.
+	// maxExplanations is the number of requests whose steps are kept.
+	maxExplanations = 4096
+	// maxSteps is the number of steps kept per request; later ones are dropped.
 	maxSteps = 32
 )
 
-// explains remembers why the last requests went where they did.
-type explains struct {
-	byID *lru.Cache[string, *explain]
+// explanations keeps the steps of the most recent requests, by request ID.
+type explanations struct {
+	byID *lru.Cache[string, *stepLog]
 }
 
-func newExplains() *explains {
-	ca, err := lru.New[string, *explain](maxExplained)
+func newExplanations() *explanations {
+	ca, err := lru.New[string, *stepLog](maxExplanations)
 	if err != nil {
 		panic(err)
 	}
-	return &explains{byID: ca}
+	return &explanations{byID: ca}
 }
 
-// explain collects one request's steps.
-type explain struct {
-	mu sync.Mutex
-	ex Explanation
+// stepLog records the steps of one request.
+//
+// mu guards the explanation. No other lock is taken while it is held.
+type stepLog struct {
+	mu          sync.Mutex
+	explanation Explanation
 }
 
-// Explanation is why a request went where it did.
+// Explanation lists what an entry did with a request, as GET /v1/explain/:id
+// returns it.
 type Explanation struct {
 	RequestID    string                `json:"request_id"`
 	BillID       string                `json:"bill_id"`
@@ -46,34 +49,38 @@
 	Steps        []Step                `json:"steps"`
 }
 
-// Step is one thing that happened to a request.
+// Step is one event in the processing of a request.
 type Step struct {
 	At   time.Time `json:"at"`
 	Text string    `json:"text"`
 }
 
-func (ex *explains) start(rq *request) *explain {
-	out := &explain{ex: Explanation{
+// startRequest adds an empty step log for a request. It replaces that of an earlier
+// request with the same ID.
+func (exs *explanations) startRequest(rq *request) *stepLog {
+	out := &stepLog{explanation: Explanation{
 		RequestID: rq.id, BillID: rq.billID, Organisation: rq.organisation, Arrived: rq.arrived, Deadline: rq.deadline,
 	}}
-	ex.byID.Add(rq.id, out)
+	exs.byID.Add(rq.id, out)
 	return out
 }
 
-func (ex *explains) get(id string) (Explanation, bool) {
-	out, ok := ex.byID.Get(id)
+// get returns the explanation of a request, false when it is not kept.
+func (exs *explanations) get(id string) (Explanation, bool) {
+	out, ok := exs.byID.Get(id)
 	if !ok {
 		return Explanation{}, false
 	}
 	out.mu.Lock()
 	defer out.mu.Unlock()
-	return out.ex, true
+	return out.explanation, true
 }
 
-func (ex *explain) add(format string, args ...any) {
-	ex.mu.Lock()
-	defer ex.mu.Unlock()
-	if len(ex.ex.Steps) < maxSteps {
-		ex.ex.Steps = append(ex.ex.Steps, Step{At: time.Now(), Text: fmt.Sprintf(format, args...)})
+// add appends a step with a formatted text and the current time.
+func (sl *stepLog) add(format string, args ...any) {
+	sl.mu.Lock()
+	defer sl.mu.Unlock()
+	if len(sl.explanation.Steps) < maxSteps {
+		sl.explanation.Steps = append(sl.explanation.Steps, Step{At: time.Now(), Text: fmt.Sprintf(format, args...)})
 	}
 }
--- a/entry/rating.go
+++ b/entry/rating.go
@@ -13,26 +13,31 @@
 )
 
 const (
-	// maxWaitingRatings bounds the answers waiting for the rating service.
-	maxWaitingRatings = 256
-	submitTimeout     = 2 * time.Second
-	// rolloutRatedShare of the answers of a model under roll-out are rated.
+	// maxQueuedRatings is the number of answers that may wait for the rating
+	// service.
+	maxQueuedRatings = 256
+	submitTimeout    = 2 * time.Second
+	// rolloutRatedShare is the minimum share of answers that is rated during a
+	// roll-out of their model.
 	rolloutRatedShare = 0.1
-	// candidateRatedShare of a candidate's answers are rated.
+	// candidateRatedShare is the share of a candidate version's answers that is
+	// rated.
 	candidateRatedShare = 1.0
 )
 
-// ratingSubmitter hands answers to the rating service in the background, and
-// drops them while it cannot keep up: ratings are a sample.
+// ratingSubmitter sends answers to the rating service in the background. It drops
+// answers while its queue is full, and those whose submission fails, because
+// ratings are only a sample.
 type ratingSubmitter struct {
 	service *rating.Service
 	queue   chan rating.Answer
 }
 
 func newRatingSubmitter(se *rating.Service) *ratingSubmitter {
-	return &ratingSubmitter{service: se, queue: make(chan rating.Answer, maxWaitingRatings)}
+	return &ratingSubmitter{service: se, queue: make(chan rating.Answer, maxQueuedRatings)}
 }
 
+// submit queues an answer, or drops it when the queue is full. It does not block.
 func (rs *ratingSubmitter) submit(an rating.Answer) {
 	select {
 	case rs.queue <- an:
@@ -40,6 +45,7 @@
 	}
 }
 
+// run sends the queued answers one at a time until ctx is done.
 func (rs *ratingSubmitter) run(ctx context.Context) {
 	for {
 		select {
@@ -53,9 +59,10 @@
 	}
 }
 
-// willRate decides by the request's id, so that the answer is the same
-// whenever it is asked.
-func (ch *chat) willRate(an *answering) bool {
+// inRatingSample reports whether the answer is in the sample to be rated. It
+// decides by a hash of the bill ID, which is unique to the request, so that
+// repeated calls for one request agree.
+func (ch *chatRequest) inRatingSample(an *answerRelay) bool {
 	share := 0.0
 	se := an.daemon.holder.Set()
 	if ca, ok := se.Cascades.ByID(an.target.cascade); ok {
@@ -71,7 +78,7 @@
 	return float64(xxhash.Sum64String(ch.billID)%scale) < share*scale
 }
 
-func ratingAnswer(an *answering) rating.Answer {
+func ratingAnswer(an *answerRelay) rating.Answer {
 	return rating.Answer{
 		RequestID: an.chat.billID, Cascade: string(an.target.cascade), Work: string(an.chat.work),
 		Version:  string(an.target.version.ID),
--- a/peer/group.go
+++ b/peer/group.go
@@ -24,7 +24,7 @@
 	"tanagerpoint.example/tanager/worker"
 )
 
-// Incarnation names one run of a daemon; it is never used again.
+// Incarnation is the ULID of one run of a daemon. It is new after each restart.
 type Incarnation string
 
 // Roles of daemons.
@@ -34,7 +34,8 @@
 	RoleRouter  = "router"
 )
 
-// Options say who a daemon is and whom it may meet.
+// Options configure a Group: the daemon's own member record, the timing of the
+// exchange and the sources of peer addresses.
 type Options struct {
 	Self        *rpc.Member
 	SharedKey   string
@@ -42,20 +43,22 @@
 	Fanout      int
 	FailedAfter time.Duration
 	Seeds       []string
-	// Listed gives the peers' addresses in the VM list.
-	Listed func() []string
-	// Describe fills in what changes about this daemon.
+	// PeerAddresses returns the peers' addresses from the VM list or the
+	// registry. It may be nil.
+	PeerAddresses func() []string
+	// Describe sets the fields of the member record that change at run time.
+	// It may be nil.
 	Describe func(me *rpc.Member)
 }
 
-// Settings are the sections that the exchange needs.
+// Settings gives access to the setting sections that the exchange needs.
 type Settings interface {
 	GetVm() *rpc.VMSection
 	GetListen() *rpc.ListenSection
 	GetPeers() *rpc.PeersSection
 }
 
-// OptionsOf gives the options that settings ask for, for a daemon of a role.
+// OptionsOf returns the options from the settings of a daemon with a role.
 func OptionsOf(se Settings, role string) Options {
 	ps := se.GetPeers()
 	return Options{
@@ -68,96 +71,107 @@
 	}
 }
 
-// Group is this daemon's part in the exchange.
+// Group runs this daemon's side of the exchange and holds what it has learnt.
 //
-// mu guards progress, reached, known, sequence, current and settled. It is taken
-// before the board's and the holder's locks, never after.
+// mu guards syncStates, lastContact, lastMembers, sequence, currentRevision and
+// previousRevision. It is taken before the table's and the holder's locks, never
+// after.
 type Group struct {
 	opt    Options
-	board  *Board
+	table  *Table
 	holder *configuration.Holder
 	log    *event.Log
 	client *http.Client
 	fence  int64
 
-	// size counts the daemons heard of, this one included.
+	// size is the number of live daemons, this one included.
 	size atomic.Int64
-	// behind takes the addresses of peers that have a newer policy.
-	behind chan string
-
-	mu       sync.Mutex
-	sequence int64
-	progress map[string]progress
-	// reached holds when each member was last met directly.
-	reached map[Incarnation]time.Time
-	known   map[string]Member
-	// current is the policy in force at the last round, settled at the one before.
-	current store.Revision
-	settled store.Revision
+	// aheadPeers receives the addresses of peers that have a newer policy.
+	aheadPeers chan string
+
+	mu         sync.Mutex
+	sequence   int64
+	syncStates map[string]syncState
+	// lastContact is the time of the last direct exchange with each member.
+	lastContact map[Incarnation]time.Time
+	// lastMembers is the live members at the last call of updateMembers, by role
+	// and VM.
+	lastMembers map[string]Member
+	// currentRevision is the policy revision in force at the start of the last
+	// round, previousRevision the one at the start of the round before.
+	currentRevision  store.Revision
+	previousRevision store.Revision
 }
 
-// progress is what an exchange with one address has come to.
-type progress struct {
+// syncState records which items this daemon and the peer at one address have
+// already sent to each other.
+type syncState struct {
 	incarnation string
-	// seen is the peer's counter up to which this daemon has its items.
-	seen int64
-	// given is this daemon's counter up to which the peer has its items.
-	given  int64
-	failed bool
+	// received is the peer's change counter up to which this daemon has its
+	// items.
+	received int64
+	// sent is this daemon's change counter up to which the peer has its items.
+	sent int64
+	// unreachable is set after a failed exchange, so that no further failure is
+	// logged until an exchange with the peer succeeds.
+	unreachable bool
 }
 
-// NewGroup gives a group with a fresh incarnation.
+// NewGroup returns a group with a new incarnation; Run starts the exchange.
 func NewGroup(opt Options, ho *configuration.Holder, ne network.Network, lo *event.Log) *Group {
 	opt.Self.Incarnation = ulid.Make().String()
 	return &Group{
-		opt: opt, board: NewBoard(), holder: ho, log: lo, behind: make(chan string, 1),
-		client:   ne.Client(2),
-		fence:    time.Now().UnixMilli(),
-		progress: map[string]progress{},
-		reached:  map[Incarnation]time.Time{},
-		known:    map[string]Member{},
+		opt: opt, table: NewTable(), holder: ho, log: lo, aheadPeers: make(chan string, 1),
+		client:      ne.Client(2),
+		fence:       time.Now().UnixMilli(),
+		syncStates:  map[string]syncState{},
+		lastContact: map[Incarnation]time.Time{},
+		lastMembers: map[string]Member{},
 	}
 }
 
-// Incarnation gives this daemon's own.
+// Incarnation returns this daemon's incarnation.
 func (gr *Group) Incarnation() Incarnation { return Incarnation(gr.opt.Self.GetIncarnation()) }
 
-// VM gives this daemon's VM.
+// VM returns the ID of this daemon's VM.
 func (gr *Group) VM() vm.ID { return vm.ID(gr.opt.Self.GetVm()) }
 
-// Board gives the items.
-func (gr *Group) Board() *Board { return gr.board }
+// Table returns the table of published items.
+func (gr *Group) Table() *Table { return gr.table }
 
-// Close ends the pooled connections.
+// Close closes the idle connections to peers.
 func (gr *Group) Close() { gr.client.CloseIdleConnections() }
 
-// Publish writes an item of this daemon's own. Keys of several owners end in
-// the owner's name. A value that has not changed is written again only now and
-// then, but for a member's state, whose writes are its heartbeats.
+// Publish writes an item that this daemon owns. A key that several daemons
+// publish must end in the owner's name. An unchanged value is written again only
+// after rewriteInterval, except for a member record, whose writes are its
+// heartbeats.
 func (gr *Group) Publish(key string, ms proto.Message) {
 	gr.mu.Lock()
 	gr.sequence++
 	ve := Version{Fence: gr.fence, Sequence: gr.sequence}
 	gr.mu.Unlock()
-	gr.PublishAs(key, ve, ms)
+	gr.PublishVersion(key, ve, ms)
 }
 
-// PublishAs writes an item whose order among several writers the caller gives.
-func (gr *Group) PublishAs(key string, ve Version, ms proto.Message) {
+// PublishVersion writes an item that several daemons may write; the version
+// decides which write wins.
+func (gr *Group) PublishVersion(key string, ve Version, ms proto.Message) {
 	value, err := proto.MarshalOptions{Deterministic: true}.Marshal(ms)
-	if err != nil || gr.board.isFresh(key, ve.Fence, value, time.Now()) {
+	if err != nil || gr.table.writtenRecently(key, ve.Fence, value, time.Now()) {
 		return
 	}
-	gr.board.Put(key, ve, value, time.Now())
+	gr.table.Put(key, ve, value, time.Now())
 }
 
-// Announce publishes this daemon's state at once and meets some peers.
+// Announce publishes this daemon's member record and runs an exchange round at
+// once. It blocks until the round is over.
 func (gr *Group) Announce(ctx context.Context) {
-	gr.announce()
-	gr.round(ctx)
+	gr.publishSelf()
+	gr.exchangeRound(ctx)
 }
 
-func (gr *Group) announce() { gr.Publish(memberKey(gr.opt.Self), gr.self()) }
+func (gr *Group) publishSelf() { gr.Publish(memberKey(gr.opt.Self), gr.self()) }
 
 func (gr *Group) self() *rpc.Member {
 	me := proto.Clone(gr.opt.Self).(*rpc.Member)
@@ -171,29 +185,31 @@
 	return memberPrefix + me.GetRole() + "/" + me.GetVm()
 }
 
-// round meets the peers of one interval at the same time.
-func (gr *Group) round(ctx context.Context) {
-	gr.settle()
+// exchangeRound exchanges with the peers of one round concurrently and blocks
+// until all have answered or timed out.
+func (gr *Group) exchangeRound(ctx context.Context) {
+	gr.rotateRevisions()
 	wg := worker.NewGroup()
-	for _, ad := range gr.pick() {
-		wg.Go(func(context.Context) { gr.meet(ctx, ad) })
+	for _, ad := range gr.pickAddresses() {
+		wg.Go(func(context.Context) { gr.exchangeWith(ctx, ad) })
 	}
 	wg.Wait()
 }
 
-// pick chooses addresses at random, known members first; one of the others
-// always has a place, so that parts of a site find each other again.
-func (gr *Group) pick() []string {
+// pickAddresses returns random peer addresses, up to Fanout of live members
+// first. At least one address of no live member is added if any is known, so
+// that the parts of a site rejoin after a network partition.
+func (gr *Group) pickAddresses() []string {
 	me := gr.opt.Self.GetPeerAddress()
 	var live, others []string
 	for _, mb := range gr.Members() {
 		live = append(live, mb.PeerAddress)
 	}
 	candidates := slices.Clone(gr.opt.Seeds)
-	if gr.opt.Listed != nil {
-		candidates = append(candidates, gr.opt.Listed()...)
+	if gr.opt.PeerAddresses != nil {
+		candidates = append(candidates, gr.opt.PeerAddresses()...)
 	}
-	for _, it := range gr.board.Under(memberPrefix) {
+	for _, it := range gr.table.List(memberPrefix) {
 		candidates = append(candidates, it.member.PeerAddress)
 	}
 	for _, ad := range candidates {
@@ -210,64 +226,65 @@
 
 func (gr *Group) exchangeTimeout() time.Duration { return gr.opt.FailedAfter / 2 }
 
-// meet exchanges with one peer, and fetches its policy when it is newer.
-func (gr *Group) meet(ctx context.Context, address string) {
+// exchangeWith exchanges items with one peer, offers it the policy in force if
+// it is behind, and fetches its policy if that is newer.
+func (gr *Group) exchangeWith(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, gr.exchangeTimeout())
 	defer cancel()
 	asked := time.Now()
 	gr.mu.Lock()
-	pr := gr.progress[address]
+	ss := gr.syncStates[address]
 	gr.mu.Unlock()
-	its, change := gr.board.since(pr.given, asked)
+	its, change := gr.table.changedSince(ss.sent, asked)
 	rs, err := gr.Peer(address).Exchange(ctx, &rpc.ExchangeRequest{
 		From: gr.self(), Items: its,
-		SeenChange: pr.seen, SeenIncarnation: pr.incarnation,
+		SeenChange: ss.received, SeenIncarnation: ss.incarnation,
 		PolicyRevision: int64(gr.holder.Set().Revision), PolicyAgeMs: gr.policyAgeMS(asked),
 	})
 	if err != nil {
-		gr.failedMeeting(ctx, address, err)
+		gr.recordFailure(ctx, address, err)
 		return
 	}
-	gr.board.merge(rs.GetItems(), asked)
+	gr.table.merge(rs.GetItems(), asked)
 	gr.mu.Lock()
-	gr.progress[address] = progress{incarnation: rs.GetFrom().GetIncarnation(), seen: rs.GetChange(), given: change}
-	if pr.incarnation != "" && pr.incarnation != rs.GetFrom().GetIncarnation() {
-		// The peer is new at this address and has none of the items given.
-		gr.progress[address] = progress{incarnation: rs.GetFrom().GetIncarnation(), seen: rs.GetChange()}
+	gr.syncStates[address] = syncState{incarnation: rs.GetFrom().GetIncarnation(), received: rs.GetChange(), sent: change}
+	if ss.incarnation != "" && ss.incarnation != rs.GetFrom().GetIncarnation() {
+		// The peer has restarted and does not have the items sent to its predecessor.
+		gr.syncStates[address] = syncState{incarnation: rs.GetFrom().GetIncarnation(), received: rs.GetChange()}
 	}
-	gr.reached[Incarnation(rs.GetFrom().GetIncarnation())] = asked
+	gr.lastContact[Incarnation(rs.GetFrom().GetIncarnation())] = asked
 	gr.mu.Unlock()
 	gr.offerPolicy(ctx, address, store.Revision(rs.GetPolicyRevision()))
-	gr.learnPolicy(ctx, address, store.Revision(rs.GetPolicyRevision()), asked.Add(-time.Duration(rs.GetPolicyAgeMs())*time.Millisecond))
+	gr.fetchPolicy(ctx, address, store.Revision(rs.GetPolicyRevision()), asked.Add(-time.Duration(rs.GetPolicyAgeMs())*time.Millisecond))
 }
 
-func (gr *Group) failedMeeting(ctx context.Context, address string, err error) {
+func (gr *Group) recordFailure(ctx context.Context, address string, err error) {
 	gr.mu.Lock()
-	pr := gr.progress[address]
-	first := !pr.failed
-	pr.failed = true
-	gr.progress[address] = pr
+	ss := gr.syncStates[address]
+	first := !ss.unreachable
+	ss.unreachable = true
+	gr.syncStates[address] = ss
 	gr.mu.Unlock()
 	if first && ctx.Err() == nil {
 		gr.log.Debug(event.PeerUnreachable, err, event.Fields{"address": address})
 	}
 }
 
-// Peer gives the service of the daemon at an address.
+// Peer returns a client of the peer service at an address.
 func (gr *Group) Peer(address string) rpc.PeerService {
-	return rpc.NewPeerServiceProtobufClient("http://"+address, authorised{client: gr.client, key: gr.opt.SharedKey})
+	return rpc.NewPeerServiceProtobufClient("http://"+address, bearerClient{client: gr.client, key: gr.opt.SharedKey})
 }
 
-// authorised adds the shared key to each call.
-type authorised struct {
+// bearerClient is an HTTP client that sends the shared key with each request.
+type bearerClient struct {
 	client *http.Client
 	key    string
 }
 
-// Do sends a request.
-func (au authorised) Do(rq *http.Request) (*http.Response, error) {
-	rq.Header.Set("Authorization", bearer+au.key)
-	rs, err := au.client.Do(rq) //nolint:gosec // peers' addresses come from the settings, the VM list and peers
+// Do adds the shared key to a request and sends it.
+func (bc bearerClient) Do(rq *http.Request) (*http.Response, error) {
+	rq.Header.Set("Authorization", bearer+bc.key)
+	rs, err := bc.client.Do(rq) //nolint:gosec // peers' addresses come from the settings, the VM list and peers
 	if err != nil {
 		return nil, eris.Wrap(err, "peer")
 	}
@@ -278,7 +295,7 @@
 	return equalSecret(strings.TrimPrefix(header, bearer), key) && strings.HasPrefix(header, bearer)
 }
 
-// FailureDomain gives this daemon's.
+// FailureDomain returns the failure domain of this daemon's VM.
 func (gr *Group) FailureDomain() policy.FailureDomain {
 	return policy.FailureDomain(gr.opt.Self.GetFailureDomain())
 }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -39,9 +39,9 @@
 	}
 }
 
-// TestBoardsAgree writes items at two boards in any order, with repeats: the
-// newest version of each stays.
-func TestBoardsAgree(t *testing.T) {
+// TestTablesConvergeInAnyOrder writes the same items to two tables in different
+// orders, with repeats. Both tables must keep the newest version of each key.
+func TestTablesConvergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		type write struct {
 			key string
@@ -54,25 +54,27 @@
 				ve:  peer.Version{Fence: rapid.Int64Range(1, 3).Draw(rt, "fence"), Sequence: rapid.Int64Range(1, 3).Draw(rt, "sequence")},
 			})
 		}
-		one, other := peer.NewBoard(), peer.NewBoard()
+		one, other := peer.NewTable(), peer.NewTable()
 		for _, wr := range writes {
 			one.Put(wr.key, wr.ve, nil, time.Now())
 		}
 		for _, wr := range rapid.Permutation(writes).Draw(rt, "order") {
 			other.Put(wr.key, wr.ve, nil, time.Now())
 		}
-		as, bs := one.Under(""), other.Under("")
+		as, bs := one.List(""), other.List("")
 		if len(as) != len(bs) {
-			rt.Fatalf("%d and %d items", len(as), len(bs))
+			rt.Fatalf("tables hold %d and %d items", len(as), len(bs))
 		}
 		for i := range as {
 			if as[i].Version != bs[i].Version {
-				rt.Fatalf("%s is at %v and %v", as[i].Key, as[i].Version, bs[i].Version)
+				rt.Fatalf("item %s has version %v in one table and %v in the other", as[i].Key, as[i].Version, bs[i].Version)
 			}
 		}
 	})
 }
 
+// FuzzExchange sends arbitrary request bodies, such as items with a negative age
+// or undecodable members; the server must not panic.
 func FuzzExchange(f *testing.F) {
 	text, err := proto.Marshal(&rpc.ExchangeRequest{
 		From:  &rpc.Member{Vm: "b", Incarnation: "i"},
--- /dev/null
+++ b/peer/table.go
@@ -0,0 +1,179 @@
+// Package peer implements the gossip protocol among the daemons of a site. It
+// spreads membership, the policy revision in force, and small items that each
+// owner publishes.
+//
+// In each interval every daemon exchanges with a few randomly chosen peers.
+// Both sides send the items that changed since their last exchange, so a write
+// also reaches daemons that its owner cannot reach directly.
+package peer
+
+import (
+	"bytes"
+	"cmp"
+	"slices"
+	"strings"
+	"sync"
+	"time"
+
+	"tanagerpoint.example/tanager/rpc"
+)
+
+// itemTTL is how long an item is kept and passed on after its last write.
+const itemTTL = 30 * time.Second
+
+// rewriteInterval is the age at which an unchanged value is written again. It is
+// shorter than the age at which readers treat an item as expired.
+const rewriteInterval = 1500 * time.Millisecond
+
+// Version orders the writes of one key: the greater Fence wins, then the
+// greater Sequence. Fence is the owner's start time in Unix milliseconds or a
+// value that the writer chooses, such as a fencing token; Sequence rises with
+// each write under one fence.
+type Version struct {
+	Fence    int64
+	Sequence int64
+}
+
+func (ve Version) compare(other Version) int {
+	return cmp.Or(cmp.Compare(ve.Fence, other.Fence), cmp.Compare(ve.Sequence, other.Sequence))
+}
+
+// Item is a published value. WrittenAt is the time of the owner's write,
+// converted to this daemon's clock.
+type Item struct {
+	Key       string
+	Version   Version
+	Value     []byte
+	WrittenAt time.Time
+	// change is the table's change counter when the item was last written
+	// here; valueChange is the counter when its value last changed.
+	change      int64
+	valueChange int64
+	// member is the decoded value if the key is under memberPrefix.
+	member Member
+}
+
+// Table holds the newest item of each key. Its methods may be called
+// concurrently.
+//
+// mu guards all fields; no other lock is taken while it is held.
+type Table struct {
+	mu     sync.Mutex
+	items  map[string]Item
+	change int64
+}
+
+// NewTable returns an empty table.
+func NewTable() *Table { return &Table{items: map[string]Item{}} }
+
+// Put stores an item and reports whether it did so. It does nothing if the
+// table has the same or a newer version of the key.
+func (ta *Table) Put(key string, ve Version, value []byte, writtenAt time.Time) bool {
+	ta.mu.Lock()
+	defer ta.mu.Unlock()
+	old, ok := ta.items[key]
+	if ok && ve.compare(old.Version) <= 0 {
+		return false
+	}
+	ta.putLocked(Item{Key: key, Version: ve, Value: value, WrittenAt: writtenAt})
+	return true
+}
+
+func (ta *Table) putLocked(it Item) {
+	ta.change++
+	it.change, it.valueChange = ta.change, ta.change
+	old, ok := ta.items[it.Key]
+	switch {
+	case ok && old.Version.Fence == it.Version.Fence && bytes.Equal(old.Value, it.Value):
+		it.valueChange, it.member = old.valueChange, old.member
+	case strings.HasPrefix(it.Key, memberPrefix):
+		it.member = decodeMember(it.Value)
+	}
+	ta.items[it.Key] = it
+}
+
+// refresh stores a newer version of an item whose value is unchanged. It does
+// nothing if the key is missing or has another fence.
+func (ta *Table) refresh(key string, ve Version, writtenAt time.Time) {
+	ta.mu.Lock()
+	defer ta.mu.Unlock()
+	old, ok := ta.items[key]
+	if ok && old.Version.Fence == ve.Fence && ve.compare(old.Version) > 0 {
+		ta.putLocked(Item{Key: key, Version: ve, Value: old.Value, WrittenAt: writtenAt})
+	}
+}
+
+// writtenRecently reports whether the same value was written under the same
+// fence less than rewriteInterval ago. It is always false for members, whose
+// writes are heartbeats.
+func (ta *Table) writtenRecently(key string, fence int64, value []byte, now time.Time) bool {
+	if strings.HasPrefix(key, memberPrefix) {
+		return false
+	}
+	ta.mu.Lock()
+	defer ta.mu.Unlock()
+	it, ok := ta.items[key]
+	return ok && it.Version.Fence == fence && bytes.Equal(it.Value, value) && now.Sub(it.WrittenAt) < rewriteInterval
+}
+
+// Get returns the item of a key and reports whether there is one.
+func (ta *Table) Get(key string) (Item, bool) {
+	ta.mu.Lock()
+	defer ta.mu.Unlock()
+	it, ok := ta.items[key]
+	return it, ok
+}
+
+// List returns the items whose keys have a prefix, sorted by key.
+func (ta *Table) List(prefix string) []Item {
+	ta.mu.Lock()
+	defer ta.mu.Unlock()
+	var out []Item
+	for key, it := range ta.items {
+		if strings.HasPrefix(key, prefix) {
+			out = append(out, it)
+		}
+	}
+	slices.SortFunc(out, func(a, b Item) int { return strings.Compare(a.Key, b.Key) })
+	return out
+}
+
+// changedSince returns the items that changed after a value of the change
+// counter, and the counter's current value. It deletes items older than itemTTL.
+func (ta *Table) changedSince(change int64, now time.Time) ([]*rpc.Item, int64) {
+	ta.mu.Lock()
+	defer ta.mu.Unlock()
+	var out []*rpc.Item
+	for key, it := range ta.items {
+		if now.Sub(it.WrittenAt) > itemTTL {
+			delete(ta.items, key)
+			continue
+		}
+		if it.change <= change {
+			continue
+		}
+		ms := &rpc.Item{Key: key, Fence: it.Version.Fence, Sequence: it.Version.Sequence, AgeMs: now.Sub(it.WrittenAt).Milliseconds()}
+		if it.valueChange <= change {
+			ms.SameValue = true
+		} else {
+			ms.Value = it.Value
+		}
+		out = append(out, ms)
+	}
+	return out, ta.change
+}
+
+// merge stores a peer's items that are newer than the table's.
+func (ta *Table) merge(its []*rpc.Item, now time.Time) {
+	for _, it := range its {
+		writtenAt := now.Add(-time.Duration(it.GetAgeMs()) * time.Millisecond)
+		ve := Version{Fence: it.GetFence(), Sequence: it.GetSequence()}
+		switch {
+		case now.Sub(writtenAt) > itemTTL:
+		case it.GetSameValue():
+			ta.refresh(it.GetKey(), ve, writtenAt)
+		default:
+			ta.Put(it.GetKey(), ve, it.GetValue(), writtenAt)
+		}
+	}
+}
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -10,14 +10,16 @@
 	"tanagerpoint.example/tanager/rpc"
 )
 
-// loadPrefix is the prefix of the routers' items on their work: load/VM.
+// loadPrefix is the key prefix under which each router publishes its load:
+// load/VM.
 const loadPrefix = "load/"
 
-// Publish tells the other routers of this one's work.
+// Publish publishes this router's load and its results of roll-outs to the other
+// routers.
 func (ro *Router) Publish() {
 	ro.releases.publish()
 	if ro.peers.Large() {
-		// The endpoints' own reports of their load are fresher then.
+		// In large groups the endpoints' own load reports are more recent.
 		return
 	}
 	us := &rpc.Usage{}
@@ -29,13 +31,13 @@
 	ro.peers.Publish(loadPrefix+string(ro.peers.VM()), us)
 }
 
-// Refresh processes what the other routers told.
+// Refresh applies what the other routers have published.
 func (ro *Router) Refresh() {
 	now := time.Now()
 	others := map[policy.EndpointID]placement.Load{}
 	entries := ro.peers.Entries()
 	for _, mb := range entries {
-		it, ok := ro.peers.Board().Get(loadPrefix + string(mb.VM))
+		it, ok := ro.peers.Table().Get(loadPrefix + string(mb.VM))
 		var us rpc.Usage
 		if !ok || proto.Unmarshal(it.Value, &us) != nil {
 			continue
@@ -49,7 +51,7 @@
 	}
 	ro.routers.Store(int64(len(entries) + 1))
 	if !ro.peers.Large() {
-		ro.balancer.SetOthers(now, others)
+		ro.balancer.SetPeerLoads(now, others)
 	}
 	ro.releases.refresh()
 }
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -19,48 +19,49 @@
 )
 
 const (
-	// maxEvent bounds one event.
-	maxEvent = 1 << 20
-	// callerWriteLimit is how long a caller may take to read an event.
-	callerWriteLimit = 10 * time.Second
-	readBuffer       = 4096
-	// resumePause lets the other endpoints of a crash show that they are gone
-	// too, before one of them is chosen.
+	// maxEventSize is the maximum size of an event in bytes.
+	maxEventSize = 1 << 20
+	// callerWriteTimeout is the time limit for writing one event to the caller.
+	callerWriteTimeout = 10 * time.Second
+	readBufferSize     = 4096
+	// resumePause is the delay before a stream is resumed. When several endpoints
+	// crash at once, it leaves time for the others to show that they are down,
+	// before one of them is selected.
 	resumePause = 40 * time.Millisecond
 )
 
-var errTorn = eris.New("stream ended within an event")
+var errTruncatedEvent = eris.New("stream ended within an event")
 
-// streamEvent is one event as it came.
+// streamEvent is one event with its text as received.
 type streamEvent struct {
 	id   EventID
 	text []byte
 }
 
-// eventReader splits a stream into whole events.
+// eventReader splits a stream into complete events.
 type eventReader struct {
 	rd *bufio.Reader
 }
 
 func newEventReader(rd io.Reader) *eventReader {
-	return &eventReader{rd: bufio.NewReaderSize(rd, readBuffer)}
+	return &eventReader{rd: bufio.NewReaderSize(rd, readBufferSize)}
 }
 
-// next gives the next event; io.EOF after the last, errTorn when the stream
-// ended within one.
+// next returns the next event. It returns io.EOF after the last one, and
+// errTruncatedEvent if the stream ends within an event.
 func (er *eventReader) next() (streamEvent, error) {
 	var ev streamEvent
 	for {
 		line, err := er.rd.ReadSlice('\n')
 		ev.text = append(ev.text, line...)
-		if len(ev.text) > maxEvent {
-			return streamEvent{}, eris.Errorf("event is larger than %d bytes", maxEvent)
+		if len(ev.text) > maxEventSize {
+			return streamEvent{}, eris.Errorf("event is larger than %d bytes", maxEventSize)
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
 			continue
 		}
 		if errors.Is(err, io.EOF) && len(ev.text) > 0 {
-			return streamEvent{}, errTorn
+			return streamEvent{}, errTruncatedEvent
 		}
 		if err != nil {
 			return streamEvent{}, err
@@ -78,51 +79,52 @@
 	}
 }
 
-// relayed is a stream on its way to the caller.
-type relayed struct {
-	router *Router
-	call   *call
-	wr     http.ResponseWriter
-	rc     *http.ResponseController
-	last   EventID
-	// wroteAt is when the caller last got an event, longest the longest pause
-	// between two, in milliseconds.
-	wroteAt time.Time
-	longest int64
+// streamRelay forwards a stream to the caller.
+type streamRelay struct {
+	router      *Router
+	call        *call
+	wr          http.ResponseWriter
+	rc          *http.ResponseController
+	lastEventID EventID
+	// lastWriteAt is when the last event was written to the caller;
+	// longestPauseMs is the longest time between two writes, in milliseconds.
+	lastWriteAt    time.Time
+	longestPauseMs int64
 }
 
-// passStream passes a stream on as it comes, resuming it elsewhere when its run
-// breaks. It tells whether it was completed, and the longest pause in
-// milliseconds.
-func (ro *Router) passStream(ctx context.Context, wr http.ResponseWriter, ca *call, an *answer) (whole bool, longest int64) {
-	st := &relayed{router: ro, call: ca, wr: wr, rc: http.NewResponseController(wr), last: ca.request.After}
+// relayStream forwards a stream to the caller as it arrives, and resumes it at
+// another endpoint if it breaks. It reports whether the stream was completed, and
+// the longest pause between two events in milliseconds.
+func (ro *Router) relayStream(ctx context.Context, wr http.ResponseWriter, ca *call, an *answer) (complete bool, longestMs int64) {
+	sr := &streamRelay{router: ro, call: ca, wr: wr, rc: http.NewResponseController(wr), lastEventID: ca.request.LastEventID}
 	copyHeader(wr.Header(), an.header)
 	wr.WriteHeader(an.status)
 	for {
-		err := st.pass(an)
+		err := sr.forward(an)
 		an.source.Close()
 		if err == nil {
 			an.finish(placement.Succeeded)
-			return true, st.longest
+			return true, sr.longestPauseMs
 		}
-		if an = st.resume(ctx, an, err); an == nil {
-			return false, st.longest
+		if an = sr.resume(ctx, an, err); an == nil {
+			return false, sr.longestPauseMs
 		}
 	}
 }
 
-// errCaller marks a caller that has gone.
-var errCaller = eris.New("the caller has gone")
+// errCallerGone marks a failure to write to the caller.
+var errCallerGone = eris.New("the caller has gone")
 
-// pass passes one run's events on, nil at the stream's end.
-func (st *relayed) pass(an *answer) error {
-	for ev := an.first; ; {
+// forward writes the events of one endpoint's stream to the caller. It returns nil
+// at the end of the stream.
+func (sr *streamRelay) forward(an *answer) error {
+	for ev := an.firstEvent; ; {
 		if len(ev.text) == 0 {
 			return nil
 		}
-		if ev.id == 0 || ev.id > st.last {
-			if err := st.write(ev); err != nil {
-				return errors.Join(errCaller, err)
+		if ev.id == 0 || ev.id > sr.lastEventID {
+			if err := sr.write(ev); err != nil {
+				return errors.Join(errCallerGone, err)
 			}
 		}
 		var err error
@@ -132,47 +134,47 @@
 	}
 }
 
-func (st *relayed) write(ev streamEvent) error {
+func (sr *streamRelay) write(ev streamEvent) error {
 	now := time.Now()
-	if !st.wroteAt.IsZero() {
-		st.longest = max(st.longest, now.Sub(st.wroteAt).Milliseconds())
+	if !sr.lastWriteAt.IsZero() {
+		sr.longestPauseMs = max(sr.longestPauseMs, now.Sub(sr.lastWriteAt).Milliseconds())
 	}
-	st.wroteAt = now
-	if err := st.rc.SetWriteDeadline(now.Add(callerWriteLimit)); err != nil {
+	sr.lastWriteAt = now
+	if err := sr.rc.SetWriteDeadline(now.Add(callerWriteTimeout)); err != nil {
 		return err
 	}
-	if _, err := st.wr.Write(ev.text); err != nil {
+	if _, err := sr.wr.Write(ev.text); err != nil {
 		return err
 	}
-	st.last = max(st.last, ev.id)
-	return st.rc.Flush()
+	sr.lastEventID = max(sr.lastEventID, ev.id)
+	return sr.rc.Flush()
 }
 
-// resume goes on at another endpoint after the last event that the caller has;
-// nil when that is not possible.
-func (st *relayed) resume(ctx context.Context, an *answer, cause error) *answer {
-	ro, ca := st.router, st.call
-	if errors.Is(cause, errCaller) || errors.Is(ctx.Err(), context.Canceled) {
+// resume continues the stream at another endpoint after the last event that the
+// caller has received. It returns nil if that is not possible.
+func (sr *streamRelay) resume(ctx context.Context, an *answer, cause error) *answer {
+	ro, ca := sr.router, sr.call
+	if errors.Is(cause, errCallerGone) || errors.Is(ctx.Err(), context.Canceled) {
 		an.finish(placement.Neutral)
 		return nil
 	}
 	an.finish(placement.Failed)
-	ca.tried = append(ca.tried, an.endpoint.ID)
+	ca.failedEndpoints = append(ca.failedEndpoints, an.endpoint.ID)
 	ro.releases.observe(ca.service.ID, an.endpoint, rollout.Outcome{Failed: true})
-	for worker.Sleep(ctx, resumePause) && ca.route.Resumable && ro.mayRepeat(ctx, ca, &failure{err: cause}) {
-		next, fa := ro.attempt(ctx, ca, st.last)
+	for worker.Sleep(ctx, resumePause) && ca.route.Resumable && ro.mayRetry(ctx, ca, &failure{err: cause}) {
+		next, fa := ro.attempt(ctx, ca, sr.lastEventID)
 		if fa == nil && next.stream != nil {
-			ro.log.Request(event.StreamResumed, event.Fields{"request": ca.request.ID, "from": an.endpoint.ID, "to": next.endpoint.ID, "after_event": st.last, "cause": cause.Error()})
+			ro.log.Request(event.StreamResumed, event.Fields{"request": ca.request.ID, "from": an.endpoint.ID, "to": next.endpoint.ID, "after_event": sr.lastEventID, "cause": cause.Error()})
 			return next
 		}
 		if fa == nil {
-			next.drop()
+			next.discard()
 			return nil
 		}
-		if fa.nowhere {
+		if fa.noEndpoint {
 			return nil
 		}
 	}
-	ro.log.Trouble(event.StreamCut, cause, event.Fields{"request": ca.request.ID, "endpoint": an.endpoint.ID, "after_event": st.last, "sends": ca.sends})
+	ro.log.Trouble(event.StreamCut, cause, event.Fields{"request": ca.request.ID, "endpoint": an.endpoint.ID, "after_event": sr.lastEventID, "sends": ca.sends})
 	return nil
 }
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -6,130 +6,140 @@
 )
 
 const (
-	// trialShare of the time a release is tried on a share of the sessions that
-	// does not change, so that no session moves to and fro.
-	trialShare = 0.52
-	// lastShare of the time is when the release in use is given up even though
-	// requests still run on it.
-	lastShare = 0.88
-	// provingAnswers end a trial, and fewestAnswers do when time runs out.
-	provingAnswers = 30
-	fewestAnswers  = 5
-	// leastFailures and leastDeviations say when failures over all routers show
-	// that a release is worse.
-	leastFailures   = 6
-	leastDeviations = 3.5
+	// trialEnd is the fraction of the roll-out's duration at which the trial ends
+	// at the earliest. The share of sessions on trial stays constant until then, so
+	// that no session switches between releases.
+	trialEnd = 0.52
+	// forcedEnd is the fraction of the duration after which the release in use is
+	// stopped even if requests still run on it.
+	forcedEnd = 0.88
+	// sufficientAnswers is the number of answers that ends a trial; minAnswers is
+	// the number that is enough to complete between forcedEnd and the deadline.
+	sufficientAnswers = 30
+	minAnswers        = 5
+	// minFailures is the number of failures, and minDeviations the number of
+	// standard deviations above the expected count, from which the failures
+	// summed over all routers show that a release is worse.
+	minFailures   = 6
+	minDeviations = 3.5
 )
 
-// Plan is the course of a roll-out in time: a trial on a small share, then all
-// requests, then the end of the release in use once nothing runs on it.
+// Plan is the schedule of a roll-out: a trial on a small share of the sessions,
+// then all requests, then the stop of the release in use once no request runs on
+// it.
 type Plan struct {
 	StartedAt time.Time
-	// TrialAt is when the trial begins: by then every entry knows the sessions
-	// that go on with the release in use.
+	// TrialAt is the start of the trial, late enough for every router to know the
+	// sessions that stay on the release in use.
 	TrialAt    time.Time
 	DeadlineAt time.Time
 }
 
-// at gives the time at a share of the plan.
-func (pl Plan) at(share float64) time.Time {
-	return pl.StartedAt.Add(time.Duration(share * float64(pl.DeadlineAt.Sub(pl.StartedAt))))
+// timeAt returns the time at a fraction of the roll-out's duration.
+func (pl Plan) timeAt(fraction float64) time.Time {
+	return pl.StartedAt.Add(time.Duration(fraction * float64(pl.DeadlineAt.Sub(pl.StartedAt))))
 }
 
-// Share gives the share of sessions for the new release; exposed is that of
-// the trial. Time alone proves nothing: the trial lasts until enough answers
-// have been seen, also by routers that have all started anew.
+// Share returns the share of sessions, from 0 to 1, that the new release gets;
+// exposed is the share during the trial. The trial lasts until there are enough
+// answers, however long that takes: elapsed time does not show that a release is
+// good, and routers that have all restarted have no answers yet.
 func (pl Plan) Share(now time.Time, exposed float64, answers int64) float64 {
 	switch {
 	case now.Before(pl.TrialAt):
 		return 0
-	case now.Before(pl.at(trialShare)) || answers < provingAnswers:
+	case now.Before(pl.timeAt(trialEnd)) || answers < sufficientAnswers:
 		return exposed
 	}
 	return 1
 }
 
-// fewEndpoints is how many endpoints of the release in use serve so little that
-// a trial needs its whole share of them.
-const fewEndpoints = 12
-
-// Exposed gives the share of the sessions that a trial takes, from the most that
-// it may take and the endpoints of the release in use. Where many serve, a
-// smaller share brings answers enough, and fewer sessions are on their way
-// between routers that have not heard of them yet. It goes by powers of two,
-// so that routers with slightly different counts agree.
-func Exposed(most float64, endpoints int) float64 {
-	for n := endpoints; n >= 2*fewEndpoints; n /= 2 {
-		most /= 2
+// fullTrialEndpoints is the number of endpoints that produce enough answers for
+// a trial at the full share. The share is halved from twice this number on.
+const fullTrialEndpoints = 12
+
+// TrialShare returns the share of sessions for a trial, given the maximum share
+// and the number of endpoints of the release in use. With many endpoints a
+// smaller share yields enough answers, and fewer sessions move to routers that
+// have not yet learned which release they are on. The share is halved for each
+// doubling of the endpoints, so that routers with slightly different counts use
+// the same share.
+func TrialShare(maxShare float64, endpoints int) float64 {
+	for n := endpoints; n >= 2*fullTrialEndpoints; n /= 2 {
+		maxShare /= 2
 	}
-	return most
+	return maxShare
 }
 
-// Action is what is due in a roll-out.
+// Action is the next step of a roll-out.
 type Action int
 
-// The actions.
+// The possible actions.
 const (
 	ActionNone Action = iota
-	// ActionStart notes when the roll-out was taken up.
+	// ActionStart records the start time.
 	ActionStart
-	// ActionAbort gives the new release up.
+	// ActionAbort rejects the new release.
 	ActionAbort
 	// ActionComplete stops the release in use.
 	ActionComplete
 )
 
-// Progress is what is known of a roll-out over all entries.
+// Progress is the state of a roll-out, summed over all routers.
 type Progress struct {
 	Plan
-	// Started tells whether the time of its start is noted.
+	// Started reports whether the start time has been recorded.
 	Started bool
-	// Bad is why the release is bad, "" while it is not known to be.
-	Bad string
-	// Answers are the new release's.
+	// RejectionReason says why the release is bad; it is "" for one not known to be
+	// bad.
+	RejectionReason string
+	// Answers is the number of answers of the new release.
 	Answers int64
-	// StableInFlight are the requests that still run on the release in use.
+	// StableInFlight is the number of requests still running on the release in use.
 	StableInFlight int64
 }
 
-// Next gives the action that is due.
+// Next returns the action that is due.
 func (pr Progress) Next(now time.Time) Action {
 	switch {
-	case pr.Bad != "":
+	case pr.RejectionReason != "":
 		return ActionAbort
 	case !pr.Started:
 		return ActionStart
-	case pr.completes(now):
+	case pr.readyToComplete(now):
 		return ActionComplete
 	case now.After(pr.DeadlineAt):
-		// Nobody has seen enough of it, and nobody waits for it any more.
+		// There were too few answers by the deadline, after which nobody waits
+		// for the roll-out any more.
 		return ActionAbort
 	}
 	return ActionNone
 }
 
-func (pr Progress) completes(now time.Time) bool {
-	// Requests admitted just before the move count at the next exchange.
-	const settle = 1500 * time.Millisecond
+func (pr Progress) readyToComplete(now time.Time) bool {
+	// Requests admitted to the release in use just before the trial ended are
+	// counted only after the routers' next exchange.
+	const exchangeDelay = 1500 * time.Millisecond
 	switch {
-	case now.Before(pr.at(trialShare).Add(settle)):
+	case now.Before(pr.timeAt(trialEnd).Add(exchangeDelay)):
 		return false
 	case now.After(pr.DeadlineAt):
-		return pr.Answers >= provingAnswers
-	case now.After(pr.at(lastShare)):
-		return pr.Answers >= fewestAnswers
+		return pr.Answers >= sufficientAnswers
+	case now.After(pr.timeAt(forcedEnd)):
+		return pr.Answers >= minAnswers
 	default:
-		return pr.Answers >= provingAnswers && pr.StableInFlight == 0
+		return pr.Answers >= sufficientAnswers && pr.StableInFlight == 0
 	}
 }
 
-// Counts are a release's answers and failures.
+// Counts holds the numbers of a release's answers and failures. Answers
+// includes the failures.
 type Counts struct {
 	Answers  int64
 	Failures int64
 }
 
-// Observe adds an outcome.
+// Observe counts an outcome.
 func (co *Counts) Observe(ou Outcome) {
 	co.Answers++
 	if ou.Failed {
@@ -137,15 +147,15 @@
 	}
 }
 
-// Plus adds up.
-func (co Counts) Plus(other Counts) Counts {
+// Add returns the sum of both counts.
+func (co Counts) Add(other Counts) Counts {
 	return Counts{Answers: co.Answers + other.Answers, Failures: co.Failures + other.Failures}
 }
 
-// Worse tells whether failures are too many for chance, beside those of the
-// release in use.
-func (co Counts) Worse(stable Counts) bool {
-	if co.Failures < leastFailures {
+// SignificantlyWorse reports whether there are more failures than chance
+// explains, given those of the release in use.
+func (co Counts) SignificantlyWorse(stable Counts) bool {
+	if co.Failures < minFailures {
 		return false
 	}
 	const priorAnswers = 20
@@ -153,5 +163,5 @@
 	accepted := mean + failureMargin
 	expected := accepted * float64(co.Answers)
 	deviation := math.Sqrt(max(1, expected*(1-accepted)))
-	return float64(co.Failures) > expected+leastDeviations*deviation
+	return float64(co.Failures) > expected+minDeviations*deviation
 }
