--- a/bill/hold.go
+++ b/bill/hold.go
@@ -36,7 +36,7 @@
 			return
 		}
 		bo.dropCopies(key, len(hb.bills))
-		bo.log.Info(event.BillsAdopted, event.Fields{"owner": key.incarnation, "batch": key.number, "bills": len(hb.bills)})
+		bo.log.Info(event.PeerBillsSealed, event.Fields{"owner": key.incarnation, "batch": key.number, "bills": len(hb.bills)})
 	}
 }
 
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -212,7 +212,7 @@
 		if re.err == nil {
 			return re.outcome, nil
 		}
-		if !unknown && !errors.Is(re.err, store.ErrUnknown) && ctx.Err() == nil {
+		if !unknown && !errors.Is(re.err, store.ErrOutcomeUnknown) && ctx.Err() == nil {
 			return store.Outcome{}, re.err
 		}
 		unknown = true
--- a/configuration/watcher.go
+++ b/configuration/watcher.go
@@ -45,13 +45,13 @@
 	Prefix() store.Key
 	// Complete returns the records in a read of all keys, and the revision up
 	// to which they are complete.
-	Complete(pa store.Page) ([]policy.Stored, store.Revision)
+	Complete(pa store.ReadResult) ([]policy.StoredRecord, store.Revision)
 	// Removes reports whether records are deleted from the store. If so, a
 	// complete read removes the records that it lacks from the set in force.
 	Removes() bool
 	// Changed returns the changes to a set that follow from changes seen by a
 	// watch.
-	Changed(se *policy.Set, chs []store.Change) []policy.Stored
+	Changed(se *policy.Set, chs []store.Change) []policy.StoredRecord
 }
 
 // Prefix implements Layout.
@@ -62,8 +62,8 @@
 func (ke Keys) Removes() bool { return false }
 
 // Complete implements Layout. The revision is the greatest of the records.
-func (ke Keys) Complete(pa store.Page) ([]policy.Stored, store.Revision) {
-	var out []policy.Stored
+func (ke Keys) Complete(pa store.ReadResult) ([]policy.StoredRecord, store.Revision) {
+	var out []policy.StoredRecord
 	newest := store.Revision(0)
 	for _, kv := range pa.KeyValues {
 		out = append(out, ke.toStored(kv))
@@ -73,8 +73,8 @@
 }
 
 // Changed implements Layout.
-func (ke Keys) Changed(_ *policy.Set, chs []store.Change) []policy.Stored {
-	var out []policy.Stored
+func (ke Keys) Changed(_ *policy.Set, chs []store.Change) []policy.StoredRecord {
+	var out []policy.StoredRecord
 	for _, ch := range chs {
 		out = append(out, ke.toStored(ch.KeyValue))
 	}
@@ -168,10 +168,10 @@
 func (wa *Watcher) watch(ctx context.Context, from store.Revision) store.Revision {
 	wa.watchesOpened.Add(1)
 	next := from
-	err := wa.store.Watch(ctx, wa.layout.Prefix(), from, func(no store.Notice) {
+	err := wa.store.Watch(ctx, wa.layout.Prefix(), from, func(no store.WatchUpdate) {
 		wa.recordAnswer()
 		if len(no.Changes) > 0 {
-			wa.holder.UpdateFunc(func(se *policy.Set) []policy.Stored { return wa.layout.Changed(se, no.Changes) })
+			wa.holder.UpdateFunc(func(se *policy.Set) []policy.StoredRecord { return wa.layout.Changed(se, no.Changes) })
 		}
 		next = max(next, no.Revision+1)
 		wa.holder.Confirm(wa.holder.Set().Revision, time.Now())
@@ -190,8 +190,8 @@
 	return next
 }
 
-func (ke Keys) toStored(kv store.KeyValue) policy.Stored {
-	return policy.Stored{
+func (ke Keys) toStored(kv store.KeyValue) policy.StoredRecord {
+	return policy.StoredRecord{
 		Key:         strings.TrimPrefix(string(kv.Key), string(ke.Records())),
 		Value:       kv.Value,
 		ModRevision: kv.ModRevision,
--- a/policy/file.go
+++ b/policy/file.go
@@ -10,20 +10,23 @@
 	"tanagerpoint.example/tanager/store"
 )
 
-// FileRecord is a record from an operator's file. Base is the revision that it
-// was made from, as `tanagerctl get` writes it; 0 when it is not given.
+// FileRecord is a record read from an operator's file. BaseRevision is the
+// revision that the operator edited, which `tanagerctl get` writes into the file;
+// 0 if the file gives none.
 type FileRecord struct {
-	Record Record
-	File   string
-	Base   store.Revision
+	Record       Record
+	File         string
+	BaseRevision store.Revision
 }
 
-// revisionField is the field in files that carries the base revision. It is
-// not stored.
+// revisionField is the field that holds the base revision in files. It is removed
+// before a record is stored.
 const revisionField = "revision"
 
-// ReadFiles reads records from files. A file holds one record, an array of
-// them, or an object with an array named records. The error is a finding.List.
+// ReadFiles reads records from JSON files. A file holds one record, an array of
+// records, or an object whose field "records" is such an array. It returns the
+// records that can be read, and a finding.List as the error if some cannot or if a
+// record is given twice.
 func ReadFiles(files []string) ([]FileRecord, error) {
 	var li finding.List
 	var out []FileRecord
@@ -36,7 +39,7 @@
 		}
 		for _, fr := range parseFile(&li, fi, text) {
 			if other, ok := seen[fr.Record.Key()]; ok {
-				li.Add(finding.Place{File: fi, Section: fr.Record.Key()}, "stands in %s too", other)
+				li.Add(finding.Place{File: fi, Section: fr.Record.Key()}, "same record is also in %s", other)
 				continue
 			}
 			seen[fr.Record.Key()] = fi
@@ -46,10 +49,11 @@
 	return out, li.Err()
 }
 
+// parseFile returns the records in the text of a file and adds findings to li.
 func parseFile(li *finding.List, file string, text []byte) []FileRecord {
 	if !json.Valid(text) {
 		var va any
-		li.Add(finding.Place{File: file}, "not JSON: %v", json.Unmarshal(text, &va))
+		li.Add(finding.Place{File: file}, "invalid JSON: %v", json.Unmarshal(text, &va))
 		return nil
 	}
 	body := gjson.ParseBytes(text)
@@ -65,18 +69,19 @@
 		base := store.Revision(it.Get(revisionField).Int())
 		re, err := ParseRecord([]byte(it.Raw))
 		if err == nil {
-			re, err = re.without(revisionField)
+			re, err = re.withoutField(revisionField)
 		}
 		if err != nil {
 			li.Add(finding.Place{File: file, Section: it.Get("kind").Str + "/" + it.Get("id").Str}, "record %d: %v", i+1, err)
 			continue
 		}
-		out = append(out, FileRecord{Record: re, File: file, Base: base})
+		out = append(out, FileRecord{Record: re, File: file, BaseRevision: base})
 	}
 	return out
 }
 
-// ValidateFiles finds the mistakes of records in files, on top of a set.
+// ValidateFiles validates the set that results from adding the records of files to
+// se. The findings include those of records already in se, without a file.
 func ValidateFiles(se *Set, frs []FileRecord) finding.List {
 	files := map[string]string{}
 	var res []Record
@@ -86,18 +91,18 @@
 	}
 	place := func(key string) finding.Place { return finding.Place{File: files[key], Section: key} }
 	next := se.WithRecords(res)
-	li := next.unparsed(files)
+	li := next.unparsedFindings(files)
 	return append(li, next.Validate(place)...)
 }
 
-// unparsed finds the records whose envelopes cannot be read at all, which have
-// no place among the validated ones.
-func (se *Set) unparsed(files map[string]string) finding.List {
+// unparsedFindings returns the findings of the given records whose envelope cannot
+// be parsed. Validate does not see them, because Records leaves them out.
+func (se *Set) unparsedFindings(files map[string]string) finding.List {
 	var li finding.List
 	for key, file := range files {
-		en := se.entries[key]
-		if en.record.Record == nil {
-			for _, fi := range en.faults {
+		pr := se.byKey[key]
+		if pr.record.Record == nil {
+			for _, fi := range pr.findings {
 				li.Add(finding.Place{File: file, Section: key, Key: fi.Place.Key}, "%s", fi.Message)
 			}
 		}
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -71,7 +71,7 @@
 	// it.
 	stream     *eventReader
 	firstEvent streamEvent
-	source     *endpoint.CarriedAnswer
+	source     *endpoint.ForwardAnswer
 }
 
 // attempt sends a request to one endpoint. It blocks until the answer is complete
@@ -134,14 +134,14 @@
 		Deadline: ca.deadline, LastEventID: after, Urgency: ca.urgency,
 	}, time.Now())
 	ca.sends++
-	ro.log.Request(event.RequestSent, event.Fields{
+	ro.log.InfoLimited(event.RequestSent, event.Fields{
 		"request": rq.ID, "route": ca.route.ID, "endpoint": at.endpoint.ID, "release": at.endpoint.Release, "model": ca.modelID(),
 		"send": ca.sends, "estimate_ms": at.estimatedWait().Milliseconds(), "pressure_ms": int64(float64(ca.meanBacklog) * 1000),
 		"policy": ro.holder.Set().Revision,
 	})
-	source, err := ro.client.Carry(ctx, endpoint.CarriedCall{
+	source, err := ro.client.Forward(ctx, endpoint.ForwardCall{
 		URL: at.endpoint.Url, Method: rq.Method, Target: rq.Target, Host: rq.Host, Header: he, Body: rq.Body,
-		Repeatable: ca.route.Repeatable(), AnswerBy: at.headDeadline(), Progress: at.idleTimeout(),
+		Repeatable: ca.route.Repeatable(), HeaderDeadline: at.headDeadline(), Progress: at.idleTimeout(),
 	})
 	if err != nil {
 		fa := failureOf(err)
@@ -170,7 +170,7 @@
 	if ca.wantsStream() {
 		factor = streamWaitFactor
 	}
-	deadline := at.sentAt.Add(max(time.Duration(factor*float64(ca.route.Target())), minWaitFactor*at.estimatedWait()))
+	deadline := at.sentAt.Add(max(time.Duration(factor*float64(ca.route.LatencyTarget())), minWaitFactor*at.estimatedWait()))
 	if deadline.After(ca.deadline) {
 		return ca.deadline
 	}
@@ -228,7 +228,7 @@
 	ev, err := an.stream.next()
 	if err != nil && !errors.Is(err, io.EOF) {
 		an.source.Close()
-		return nil, failureOf(an.source.Failed(err))
+		return nil, failureOf(an.source.ReadFailure(err))
 	}
 	an.firstEvent = ev
 	an.recordStart()
@@ -239,7 +239,7 @@
 	defer an.source.Close()
 	body, err := io.ReadAll(io.LimitReader(an.source, maxBufferedBody+1))
 	if err != nil {
-		return nil, failureOf(an.source.Failed(err))
+		return nil, failureOf(an.source.ReadFailure(err))
 	}
 	if len(body) > maxBufferedBody {
 		return nil, &failure{err: eris.Errorf("answer is larger than %d bytes", maxBufferedBody)}
@@ -272,10 +272,10 @@
 	ro := at.router
 	suspended, resumed := ro.balancer.Done(time.Now(), at.placement, re)
 	if suspended {
-		ro.log.Warn(event.EndpointOpened, nil, event.Fields{"endpoint": at.endpoint.ID, "service": at.endpoint.Service})
+		ro.log.Warn(event.EndpointSuspended, nil, event.Fields{"endpoint": at.endpoint.ID, "service": at.endpoint.Service})
 	}
 	if resumed {
-		ro.log.Info(event.EndpointClosed, event.Fields{"endpoint": at.endpoint.ID, "service": at.endpoint.Service})
+		ro.log.Info(event.EndpointResumed, event.Fields{"endpoint": at.endpoint.ID, "service": at.endpoint.Service})
 	}
 }
 
@@ -298,7 +298,7 @@
 		ro.releases.observe(at.call.service.ID, at.endpoint, rollout.Outcome{Failed: !overdue, TimedOut: overdue})
 	}
 	ro.metrics.Attempts.Add(ctx, 1, metric.With(metric.KeyOutcome, "failed", metric.KeyCause, causeLabel(fa.err)))
-	ro.log.Trouble(event.AttemptFailed, fa.err, event.Fields{
+	ro.log.WarnLimited(event.AttemptFailed, fa.err, event.Fields{
 		"request": at.call.request.ID, "endpoint": at.endpoint.ID, "release": at.endpoint.Release, "not_run": fa.notRun,
 		"after_ms": time.Since(at.sentAt).Milliseconds(), "policy": ro.holder.Set().Revision,
 	})
--- a/relay/fleet.go
+++ b/relay/fleet.go
@@ -126,7 +126,7 @@
 // retryAfter returns how long the caller of a request that found no free endpoint
 // should wait before it tries again.
 func (fl *fleet) retryAfter(ca *call) time.Duration {
-	if ca.route.Target() < defaultRetryDelay {
+	if ca.route.LatencyTarget() < defaultRetryDelay {
 		return defaultRetryDelay
 	}
 	return 2 * defaultRetryDelay
--- a/relay/router.go
+++ b/relay/router.go
@@ -160,7 +160,7 @@
 func (ro *Router) refuse(wr http.ResponseWriter, rq *Request, re *Refusal) {
 	now := time.Now()
 	ro.metrics.Requests.Add(context.Background(), 1, metric.With(metric.KeyOutcome, string(re.Reason)))
-	ro.log.Trouble(event.RequestRefused, nil, event.Fields{
+	ro.log.WarnLimited(event.RequestRefused, nil, event.Fields{
 		"request": rq.ID, "reason": re.Reason, "status": re.Status, "after_ms": now.Sub(rq.ReceivedAt).Milliseconds(),
 		"policy": ro.holder.Set().Revision,
 	})
@@ -178,14 +178,14 @@
 	if !ok {
 		return nil, &Refusal{Status: http.StatusNotFound, Reason: ReasonNoRoute}
 	}
-	ca := &call{request: rq, route: rt, urgency: rt.Urgency, deadline: rt.Timeout(rq.ReceivedAt)}
+	ca := &call{request: rq, route: rt, urgency: rt.Urgency, deadline: rt.Deadline(rq.ReceivedAt)}
 	if !rq.Deadline.IsZero() && rq.Deadline.Before(ca.deadline) {
 		ca.deadline = rq.Deadline
 	}
 	if re := ca.setOrganisation(se); re != nil {
 		return nil, re
 	}
-	ca.service, ok = se.Services.ByID(rt.Service(rq.sessionFraction(string(rt.ID))))
+	ca.service, ok = se.Services.ByID(rt.PickService(rq.sessionFraction(string(rt.ID))))
 	if !ok {
 		return nil, refuseNotRun(ReasonNoEndpoint, rq.ReceivedAt.Add(defaultRetryDelay))
 	}
--- a/store/client.go
+++ b/store/client.go
@@ -18,22 +18,26 @@
 	"tanagerpoint.example/tanager/rpc"
 )
 
-// maxAnswerBytes bounds what one read may bring.
-const maxAnswerBytes = 64 << 20
+// maxResponseBytes is the largest response that call reads.
+const maxResponseBytes = 64 << 20
 
-// idleConnectionLimit is how long a pooled connection is trusted.
-const idleConnectionLimit = 3 * time.Second
+// idleConnTimeout is how long an idle pooled connection is reused, as in package
+// network: something between the ends may forget the connection after that.
+const idleConnTimeout = 3 * time.Second
 
-// Options say how a Client reaches the store.
+// Options configure a Client.
 type Options struct {
-	URLs          []string
-	Timeout       time.Duration
+	// URLs are the base URLs of the store's servers. There must be at least one.
+	URLs []string
+	// Timeout limits each call except Watch.
+	Timeout time.Duration
+	// WatchProgress is how long a watch may receive nothing before it fails.
 	WatchProgress time.Duration
-	// Dial replaces the network in tests.
+	// Dial opens connections; nil is the default of net/http. Tests replace it.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// OptionsOf gives the options that settings ask for.
+// OptionsOf returns the options given by a daemon's settings.
 func OptionsOf(se *rpc.StoreSection, dial func(ctx context.Context, network, address string) (net.Conn, error)) Options {
 	return Options{
 		URLs: se.GetUrls(), Timeout: se.GetTimeout().AsDuration(),
@@ -41,37 +45,41 @@
 	}
 }
 
-// Client is a Store over HTTP. It is safe for concurrent use.
+// Client implements Store over HTTP. It is safe for concurrent use.
 type Client struct {
-	opt   Options
-	http  *http.Client
-	next  atomic.Uint64
-	calls atomic.Int64
+	opt  Options
+	http *http.Client
+	// urlIndex, modulo the number of URLs, selects the URL of the next call. It is
+	// incremented when a call fails.
+	urlIndex atomic.Uint64
+	calls    atomic.Int64
 }
 
 var _ Store = (*Client)(nil)
 
-// NewClient gives a client. It connects when it is first used.
+// NewClient returns a client. It opens no connection before the first call.
 func NewClient(opt Options) *Client {
 	tr := &http.Transport{
 		DialContext:         opt.Dial,
 		MaxIdleConnsPerHost: 8,
-		IdleConnTimeout:     idleConnectionLimit,
+		IdleConnTimeout:     idleConnTimeout,
 	}
 	return &Client{opt: opt, http: &http.Client{Transport: tr}}
 }
 
-// Close ends the pooled connections.
+// Close closes the idle pooled connections.
 func (cl *Client) Close() { cl.http.CloseIdleConnections() }
 
-// Calls counts the calls made so far.
+// Calls returns the number of calls made so far, watches included.
 func (cl *Client) Calls() int64 { return cl.calls.Load() }
 
 func (cl *Client) url(path string) string {
-	return cl.opt.URLs[cl.next.Load()%uint64(len(cl.opt.URLs))] + path
+	return cl.opt.URLs[cl.urlIndex.Load()%uint64(len(cl.opt.URLs))] + path
 }
 
-// send posts a message. The boolean tells whether the store may have seen it.
+// send posts ms as JSON and returns the response if its status is 200. The body of
+// the response must be closed. The boolean reports whether the store may have
+// received the message, that is, whether a connection was obtained.
 func (cl *Client) send(ctx context.Context, path string, ms any) (*http.Response, bool, error) {
 	bd, err := json.Marshal(ms)
 	if err != nil {
@@ -84,22 +92,24 @@
 	if err != nil {
 		return nil, false, eris.Wrap(err, "Client.send")
 	}
+	// Without GetBody, net/http cannot send the request a second time.
 	rq.GetBody = nil
 	rs, err := cl.http.Do(rq)
 	if err != nil {
-		cl.next.Add(1)
+		cl.urlIndex.Add(1)
 		return nil, sent.Load(), err
 	}
 	if rs.StatusCode != http.StatusOK {
 		text, _ := io.ReadAll(io.LimitReader(rs.Body, 512))
 		_ = rs.Body.Close()
-		cl.next.Add(1)
-		return nil, sent.Load(), eris.Errorf("%s answered %s: %s", path, rs.Status, text)
+		cl.urlIndex.Add(1)
+		return nil, sent.Load(), eris.Errorf("%s returned status %s: %s", path, rs.Status, text)
 	}
 	return rs, true, nil
 }
 
-// call posts a message and decodes the answer within the client's timeout.
+// call posts ms and decodes the response into answer, within Options.Timeout. The
+// boolean is that of send.
 func (cl *Client) call(ctx context.Context, path string, ms, answer any) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, cl.opt.Timeout)
 	defer cancel()
@@ -108,74 +118,77 @@
 		return sent, err
 	}
 	defer func() { _ = rs.Body.Close() }()
-	return true, json.NewDecoder(io.LimitReader(rs.Body, maxAnswerBytes)).Decode(answer)
+	return true, json.NewDecoder(io.LimitReader(rs.Body, maxResponseBytes)).Decode(answer)
 }
 
-func (cl *Client) read(ctx context.Context, op string, rg WireRange) (Page, error) {
+func (cl *Client) read(ctx context.Context, op string, rg WireRange) (ReadResult, error) {
 	var rs WireRangeResponse
 	if _, err := cl.call(ctx, "/v3/kv/range", rg, &rs); err != nil {
-		return Page{}, eris.Wrapf(errors.Join(ErrUnavailable, err), "Client.%s", op)
+		return ReadResult{}, eris.Wrapf(errors.Join(ErrUnavailable, err), "Client.%s", op)
 	}
-	return Page{Revision: Revision(rs.Header.Revision), KeyValues: fromWire(rs.Kvs)}, nil
+	return ReadResult{Revision: Revision(rs.Header.Revision), KeyValues: keyValuesFromWire(rs.Kvs)}, nil
 }
 
 // Range implements Store.
-func (cl *Client) Range(ctx context.Context, prefix Key) (Page, error) {
+func (cl *Client) Range(ctx context.Context, prefix Key) (ReadResult, error) {
 	return cl.read(ctx, "Range", WireRange{Key: []byte(prefix), RangeEnd: PrefixEnd(prefix)})
 }
 
 // Get implements Store.
-func (cl *Client) Get(ctx context.Context, key Key) (Page, error) {
+func (cl *Client) Get(ctx context.Context, key Key) (ReadResult, error) {
 	return cl.read(ctx, "Get", WireRange{Key: []byte(key)})
 }
 
 // Apply implements Store.
 func (cl *Client) Apply(ctx context.Context, co Commit) (Outcome, error) {
 	var rs WireTxnResponse
-	if err := cl.commit(ctx, "Apply", toTxn(co), &rs); err != nil {
+	if err := cl.transact(ctx, "Apply", txnFromCommit(co), &rs); err != nil {
 		return Outcome{}, err
 	}
-	return outcomeOf(rs, rs.Header.Revision), nil
+	return outcomeFromWire(rs, rs.Header.Revision), nil
 }
 
 // ApplyEach implements Store.
 func (cl *Client) ApplyEach(ctx context.Context, cos []Commit) ([]Outcome, error) {
 	var tx WireTxn
 	for _, co := range cos {
-		sub := toTxn(co)
+		sub := txnFromCommit(co)
 		tx.Success = append(tx.Success, WireOp{Txn: &sub})
 	}
 	var rs WireTxnResponse
-	if err := cl.commit(ctx, "ApplyEach", tx, &rs); err != nil {
+	if err := cl.transact(ctx, "ApplyEach", tx, &rs); err != nil {
 		return nil, err
 	}
 	if len(rs.Responses) != len(cos) {
-		return nil, eris.Wrapf(ErrUnknown, "Client.ApplyEach: %d answers to %d commits", len(rs.Responses), len(cos))
+		return nil, eris.Wrapf(ErrOutcomeUnknown, "Client.ApplyEach: got %d results for %d commits", len(rs.Responses), len(cos))
 	}
 	ous := make([]Outcome, len(cos))
 	for i, re := range rs.Responses {
 		if re.Txn == nil {
-			return nil, eris.Wrap(ErrUnknown, "Client.ApplyEach: answer without txn")
+			return nil, eris.Wrap(ErrOutcomeUnknown, "Client.ApplyEach: result is not of a transaction")
 		}
-		ous[i] = outcomeOf(*re.Txn, rs.Header.Revision)
+		ous[i] = outcomeFromWire(*re.Txn, rs.Header.Revision)
 	}
 	return ous, nil
 }
 
-func (cl *Client) commit(ctx context.Context, op string, tx WireTxn, rs *WireTxnResponse) error {
+// transact runs a transaction. Its error is ErrOutcomeUnknown if the store may have
+// received the transaction, and ErrUnavailable if not.
+func (cl *Client) transact(ctx context.Context, op string, tx WireTxn, rs *WireTxnResponse) error {
 	sent, err := cl.call(ctx, "/v3/kv/txn", tx, rs)
 	if err == nil {
 		return nil
 	}
 	kind := ErrUnavailable
 	if sent {
-		kind = ErrUnknown
+		kind = ErrOutcomeUnknown
 	}
 	return eris.Wrapf(errors.Join(kind, err), "Client.%s", op)
 }
 
-// Watch implements Store.
-func (cl *Client) Watch(ctx context.Context, prefix Key, from Revision, report func(Notice)) error {
+// Watch implements Store. The watch fails after Options.WatchProgress without a
+// message, also if report blocks for that long.
+func (cl *Client) Watch(ctx context.Context, prefix Key, from Revision, report func(WatchUpdate)) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	tm := time.AfterFunc(cl.opt.WatchProgress, cancel)
@@ -202,19 +215,20 @@
 		if li.Result.Canceled {
 			return eris.Wrap(ErrUnavailable, "Client.Watch: cancelled by the store")
 		}
-		report(noticeOf(li.Result))
+		report(updateFromWire(li.Result))
 	}
 }
 
-func noticeOf(re WireWatchResult) Notice {
-	no := Notice{Revision: Revision(re.Header.Revision)}
+// updateFromWire converts a message of a watch.
+func updateFromWire(re WireWatchResult) WatchUpdate {
+	wu := WatchUpdate{Revision: Revision(re.Header.Revision)}
 	for _, ev := range re.Events {
-		no.Changes = append(no.Changes, Change{KeyValue: fromWire([]WireKeyValue{ev.Kv})[0], Deleted: ev.Type == "DELETE"})
+		wu.Changes = append(wu.Changes, Change{KeyValue: keyValuesFromWire([]WireKeyValue{ev.Kv})[0], Deleted: ev.Type == "DELETE"})
 	}
-	return no
+	return wu
 }
 
-// Grant implements Store.
+// Grant implements Store. It rounds ttl up to whole seconds, the unit of etcd.
 func (cl *Client) Grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	var le WireLease
 	rq := WireLeaseGrant{TTL: int64(math.Ceil(ttl.Seconds()))}
@@ -242,7 +256,9 @@
 	return nil
 }
 
-func toTxn(co Commit) WireTxn {
+// txnFromCommit returns the etcd transaction for a commit. If a compare fails, the
+// transaction reads the compared keys for Outcome.Found.
+func txnFromCommit(co Commit) WireTxn {
 	var tx WireTxn
 	for _, cm := range co.Compares {
 		tx.Compare = append(tx.Compare, WireCompare{Key: []byte(cm.Key), Target: "MOD", Result: "EQUAL", ModRevision: int64(cm.ModRevision)})
@@ -257,20 +273,22 @@
 	return tx
 }
 
-func outcomeOf(rs WireTxnResponse, revision int64) Outcome {
+// outcomeFromWire converts the response to a commit's transaction. revision is the
+// one in the header of the whole response.
+func outcomeFromWire(rs WireTxnResponse, revision int64) Outcome {
 	ou := Outcome{Applied: rs.Succeeded, Revision: Revision(revision)}
 	if rs.Succeeded {
 		return ou
 	}
 	for _, re := range rs.Responses {
 		if re.Range != nil {
-			ou.Found = append(ou.Found, fromWire(re.Range.Kvs)...)
+			ou.Found = append(ou.Found, keyValuesFromWire(re.Range.Kvs)...)
 		}
 	}
 	return ou
 }
 
-func fromWire(kvs []WireKeyValue) []KeyValue {
+func keyValuesFromWire(kvs []WireKeyValue) []KeyValue {
 	out := make([]KeyValue, len(kvs))
 	for i, kv := range kvs {
 		out[i] = KeyValue{
