--- a/relay/release.go
+++ b/relay/release.go
@@ -18,35 +18,36 @@
 const healthPrefix = "release/"
 
 // releaseSelector selects the release of a service that a request runs on, and
-// tests releases that are being rolled out.
+// tests releases that are being rolled out. In a roll-out, the candidate is the
+// new release; "stable" in a name refers to the release in use.
 //
-// mu guards trials. The sessions' own lock is taken after it.
+// mu guards states. The sessions' own lock is taken after it.
 type releaseSelector struct {
 	router   *Router
 	sessions *sessions
 	mu       sync.Mutex
-	trials   map[policy.ServiceID]*trial
+	states   map[policy.ServiceID]*rolloutState
 }
 
-// trial is this router's state of a roll-out.
-type trial struct {
-	target policy.ReleaseID
-	health rollout.HealthTest
+// rolloutState is this router's state of a roll-out.
+type rolloutState struct {
+	candidate policy.ReleaseID
+	health    rollout.HealthTest
 	// stable counts the answers of the release in use during the roll-out.
 	stable rollout.Counts
-	// rejectionReason says why the release is bad, "" while it is not known to be.
+	// rejectionReason says why the candidate was rejected, "" if it was not.
 	rejectionReason string
 	// settledHere and settledElsewhere are the sessions that stay on the release
 	// in use, as seen by this router and as published by the others.
 	settledHere, settledElsewhere settledSessions
-	// peerAnswers is the number of the new release's answers at the other routers.
+	// peerAnswers is the number of the candidate's answers at the other routers.
 	peerAnswers int64
 	// firstSeenAt is when this router first saw the roll-out.
 	firstSeenAt time.Time
 }
 
 func newReleaseSelector(ro *Router) *releaseSelector {
-	return &releaseSelector{router: ro, sessions: newSessions(), trials: map[policy.ServiceID]*trial{}}
+	return &releaseSelector{router: ro, sessions: newSessions(), states: map[policy.ServiceID]*rolloutState{}}
 }
 
 // endpointsFor returns the endpoints of the release selected for a call, and
@@ -57,28 +58,29 @@
 	if !ok {
 		return all, nil
 	}
-	current, target := splitByRelease(all, ro.ToVersion)
+	stable, candidate := splitByRelease(all, ro.ToVersion)
 	switch ro.State {
 	case rpc.RolloutState_DONE:
-		return target, nil
+		return candidate, nil
 	case rpc.RolloutState_ABORTED:
-		return current, nil
+		return stable, nil
 	}
 	rs.mu.Lock()
-	tr := rs.trialOf(now, ro)
-	exposed := rollout.TrialShare(rs.router.options().Rollout.GetExposedShare(), len(current))
-	share := rs.plan(ro, tr).Share(now, exposed, tr.peerAnswers+tr.health.Answers)
-	bad := tr.rejectionReason != ""
+	st := rs.stateOf(now, ro)
+	exposed := rollout.TrialShare(rs.router.options().Rollout.GetExposedShare(), len(stable))
+	share := rs.plan(ro, st).Share(now, exposed, st.peerAnswers+st.health.Answers)
+	rejected := st.rejectionReason != ""
 	rs.mu.Unlock()
-	if bad || len(target) == 0 || !rs.usesCandidate(now, ca, ro, share) {
-		return current, nil
+	if rejected || len(candidate) == 0 || !rs.usesCandidate(now, ca, ro, share) {
+		return stable, nil
 	}
-	return target, current
+	return candidate, stable
 }
 
-// usesCandidate reports whether a request goes to the release under roll-out.
-// A running session stays on its release; new sessions are assigned by the share.
-// A request that failed on the candidate is retried on the release in use.
+// usesCandidate reports whether a request goes to the candidate. At a share of 1
+// every request does. Below that, a running session stays on its release and new
+// sessions are assigned by the share, but a request that has failed at any
+// endpoint is retried on the release in use.
 func (rs *releaseSelector) usesCandidate(now time.Time, ca *call, ro policy.Rollout, share float64) bool {
 	if share >= 1 {
 		return true
@@ -95,14 +97,17 @@
 	}
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
-	return !rs.trialOf(now, ro).settledElsewhere.seenSince(hashSession(ca.request.Session), now.Add(-retention))
+	return !rs.stateOf(now, ro).settledElsewhere.seenSince(hashSession(ca.request.Session), now.Add(-retention))
 }
 
+// sessionRetention returns how long a session is remembered after it was last seen.
 func (rs *releaseSelector) sessionRetention() time.Duration {
 	return retentionFactor * rs.router.options().Serving.GetSessionKeep().AsDuration()
 }
 
-// recordSend records the release that a session's request is sent to.
+// recordSend records the release that a session's request is sent to. If that is
+// the release in use and the session's hash may assign it to the candidate during
+// the trial, it records for the other routers that the session is settled.
 func (rs *releaseSelector) recordSend(now time.Time, ca *call, en policy.Endpoint) {
 	id := ca.request.Session
 	if id == "" {
@@ -115,12 +120,12 @@
 	}
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
-	rs.trialOf(now, ro).settledHere.record(now, hashSession(id))
+	rs.stateOf(now, ro).settledHere.record(now, hashSession(id))
 }
 
-// retentionFactor is how many times the setting session_keep a session is
-// remembered. session_keep runs from the end of the session's previous request,
-// which may itself take long.
+// retentionFactor is the multiple of the setting session_keep for which a session
+// is remembered. session_keep runs from the end of a session's previous request,
+// but the router remembers when it was sent, and it may itself take long.
 const retentionFactor = 2
 
 func splitByRelease(ens []policy.Endpoint, release string) (others, matching []policy.Endpoint) {
@@ -134,42 +139,43 @@
 	return others, matching
 }
 
-// trialOf returns the trial of a roll-out. It begins a new one if there is none or
-// the last one was of another release. The caller holds mu.
-func (rs *releaseSelector) trialOf(now time.Time, ro policy.Rollout) *trial {
+// stateOf returns the state of a roll-out. It creates one if there is none or if
+// the service's last roll-out had another candidate. The caller holds mu.
+func (rs *releaseSelector) stateOf(now time.Time, ro policy.Rollout) *rolloutState {
 	id := policy.ServiceID(ro.Service)
-	tr, ok := rs.trials[id]
-	if !ok || tr.target != policy.ReleaseID(ro.ToVersion) {
-		tr = &trial{target: policy.ReleaseID(ro.ToVersion), firstSeenAt: now, settledHere: settledSessions{}, settledElsewhere: settledSessions{}}
-		rs.trials[id] = tr
-		rs.recordSettled(now, ro, tr)
+	st, ok := rs.states[id]
+	if !ok || st.candidate != policy.ReleaseID(ro.ToVersion) {
+		st = &rolloutState{candidate: policy.ReleaseID(ro.ToVersion), firstSeenAt: now, settledHere: settledSessions{}, settledElsewhere: settledSessions{}}
+		rs.states[id] = st
+		rs.recordSettled(now, ro, st)
 	}
-	return tr
+	return st
 }
 
-// recordSettled records the sessions that stay on the release in use as a trial
-// begins. The caller holds mu.
-func (rs *releaseSelector) recordSettled(now time.Time, ro policy.Rollout, tr *trial) {
+// recordSettled records which running sessions are settled on the release in use
+// when this router first sees a roll-out. The caller holds mu.
+func (rs *releaseSelector) recordSettled(now time.Time, ro policy.Rollout, st *rolloutState) {
 	exposed := rs.router.options().Rollout.GetExposedShare()
 	rs.sessions.forEachSince(policy.ServiceID(ro.Service), now.Add(-rs.sessionRetention()), func(id SessionID, lr lastRequest) {
-		if lr.release != tr.target && hashFraction(ro.ToVersion, string(id)) < exposed {
-			tr.settledHere.record(lr.at, hashSession(id))
+		if lr.release != st.candidate && hashFraction(ro.ToVersion, string(id)) < exposed {
+			st.settledHere.record(lr.at, hashSession(id))
 		}
 	})
 }
 
 const (
-	// trialDelay is how long routers in a small group take to exchange the
-	// sessions that stay on the release in use.
+	// trialDelay is the time from the start of a roll-out to its trial in a small
+	// group. Routers take this long to exchange the sessions that stay on the
+	// release in use. In larger groups the delay is longer.
 	trialDelay = 2500 * time.Millisecond
-	// maxTrialDelayShare limits that delay to a share of the roll-out's duration.
+	// maxTrialDelayShare limits the delay to a share of the roll-out's duration.
 	maxTrialDelayShare = 0.3
 )
 
 // plan returns the schedule of a roll-out. It begins at the recorded start or, as
 // long as there is none, when this router first saw the roll-out.
-func (rs *releaseSelector) plan(ro policy.Rollout, tr *trial) rollout.Plan {
-	started := tr.firstSeenAt
+func (rs *releaseSelector) plan(ro policy.Rollout, st *rolloutState) rollout.Plan {
+	started := st.firstSeenAt
 	if ro.StartedAtMs > 0 {
 		started = time.UnixMilli(ro.StartedAtMs)
 	}
@@ -186,31 +192,32 @@
 	}
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
-	tr := rs.trialOf(time.Now(), ro)
-	if policy.ReleaseID(en.Release) != tr.target {
-		tr.health.Stable(ou)
-		tr.stable.Observe(ou)
+	st := rs.stateOf(time.Now(), ro)
+	if policy.ReleaseID(en.Release) != st.candidate {
+		st.health.Stable(ou)
+		st.stable.Observe(ou)
 		return
 	}
-	tr.health.Candidate(ou)
-	if reason := tr.health.RejectionReason(); reason != "" {
-		rs.reject(ro, tr, reason)
+	st.health.Candidate(ou)
+	if reason := st.health.RejectionReason(); reason != "" {
+		rs.reject(ro, st, reason)
 	}
 }
 
-// reject stops sending requests to a release at this router. The caller holds mu.
-func (rs *releaseSelector) reject(ro policy.Rollout, tr *trial, reason string) {
-	if tr.rejectionReason != "" {
+// reject makes this router send no more requests to a candidate. The caller holds
+// mu.
+func (rs *releaseSelector) reject(ro policy.Rollout, st *rolloutState, reason string) {
+	if st.rejectionReason != "" {
 		return
 	}
-	tr.rejectionReason = reason
+	st.rejectionReason = reason
 	rs.router.log.Warn(event.VersionSuspect, nil, event.Fields{
-		"service": ro.Service, "release": tr.target, "reason": reason,
-		"answers": tr.health.Answers, "failures": tr.health.Failures,
+		"service": ro.Service, "release": st.candidate, "reason": reason,
+		"answers": st.health.Answers, "failures": st.health.Failures,
 	})
 }
 
-// refresh applies the other routers' results. A release that any router rejected
+// refresh applies the other routers' results. A candidate that any router rejected
 // is rejected here too, and so is one whose failures are few at each router but
 // too many in total.
 func (rs *releaseSelector) refresh() {
@@ -221,29 +228,31 @@
 		}
 		reports := rs.collectPeerReports(ro)
 		rs.mu.Lock()
-		tr := rs.trialOf(now, ro)
-		tr.peerAnswers = reports.target.Answers
+		st := rs.stateOf(now, ro)
+		st.peerAnswers = reports.candidate.Answers
 		for _, ha := range reports.settled {
-			tr.settledElsewhere.record(now, ha)
+			st.settledElsewhere.record(now, ha)
 		}
-		tr.settledElsewhere.prune(now.Add(-rs.sessionRetention()))
-		target := reports.target.Add(rollout.Counts{Answers: tr.health.Answers, Failures: tr.health.Failures})
+		st.settledElsewhere.prune(now.Add(-rs.sessionRetention()))
+		candidate := reports.candidate.Add(rollout.Counts{Answers: st.health.Answers, Failures: st.health.Failures})
 		switch {
 		case reports.rejectionReason != "":
-			rs.reject(ro, tr, reports.rejectionReason)
-		case target.SignificantlyWorse(reports.stable.Add(tr.stable)):
-			rs.reject(ro, tr, "failures over all routers")
+			rs.reject(ro, st, reports.rejectionReason)
+		case candidate.SignificantlyWorse(reports.stable.Add(st.stable)):
+			rs.reject(ro, st, "failures over all routers")
 		}
 		rs.mu.Unlock()
 	}
 }
 
-// peerReports is the sum of the other routers' published results of a roll-out.
+// peerReports holds the other routers' published results of a roll-out, summed
+// over them. rejectionReason is that of a router that rejected the candidate, ""
+// if none did.
 type peerReports struct {
-	rejectionReason string
-	target, stable  rollout.Counts
-	stableInFlight  int64
-	settled         []sessionHash
+	rejectionReason   string
+	candidate, stable rollout.Counts
+	stableInFlight    int64
+	settled           []sessionHash
 }
 
 func (rs *releaseSelector) collectPeerReports(ro policy.Rollout) peerReports {
@@ -258,7 +267,7 @@
 		if he.GetSuspect() {
 			out.rejectionReason = he.GetReason()
 		}
-		out.target = out.target.Add(rollout.Counts{Answers: he.GetAnswers(), Failures: he.GetFailures()})
+		out.candidate = out.candidate.Add(rollout.Counts{Answers: he.GetAnswers(), Failures: he.GetFailures()})
 		out.stable = out.stable.Add(rollout.Counts{Answers: he.GetStableAnswers(), Failures: he.GetStableFailures()})
 		if time.Since(it.WrittenAt) < inFlightTTL {
 			out.stableInFlight += he.GetStableInFlight()
@@ -270,8 +279,8 @@
 	return out
 }
 
-// inFlightTTL is how long a router's published requests in flight and sessions
-// are used.
+// inFlightTTL is how long the requests in flight and the settled sessions that a
+// router has published are used. Its counts of answers and failures do not expire.
 const inFlightTTL = 4 * time.Second
 
 func healthKey(service, vm string) string { return healthPrefix + service + "/" + vm }
@@ -285,14 +294,14 @@
 		inFlight := rs.stableInFlight(ro)
 		rs.mu.Lock()
 		now := time.Now()
-		tr := rs.trialOf(now, ro)
-		tr.settledHere.prune(now.Add(-rs.sessionRetention()))
+		st := rs.stateOf(now, ro)
+		st.settledHere.prune(now.Add(-rs.sessionRetention()))
 		he := &rpc.VersionHealth{
-			Version: ro.ToVersion, Answers: tr.health.Answers, Failures: tr.health.Failures,
-			StableAnswers: tr.stable.Answers, StableFailures: tr.stable.Failures,
-			Suspect: tr.rejectionReason != "", Reason: tr.rejectionReason, StableInFlight: inFlight,
+			Version: ro.ToVersion, Answers: st.health.Answers, Failures: st.health.Failures,
+			StableAnswers: st.stable.Answers, StableFailures: st.stable.Failures,
+			Suspect: st.rejectionReason != "", Reason: st.rejectionReason, StableInFlight: inFlight,
 		}
-		for ha := range tr.settledHere {
+		for ha := range st.settledHere {
 			he.StableSessions = append(he.StableSessions, uint32(ha))
 		}
 		slices.Sort(he.StableSessions)
@@ -320,10 +329,10 @@
 	inFlight := ro.releases.stableInFlight(rec)
 	ro.releases.mu.Lock()
 	defer ro.releases.mu.Unlock()
-	tr := ro.releases.trialOf(now, rec)
+	st := ro.releases.stateOf(now, rec)
 	pr := rollout.Progress{
-		Plan: ro.releases.plan(rec, tr), Started: rec.StartedAtMs > 0, RejectionReason: tr.rejectionReason,
-		Answers: reports.target.Answers + tr.health.Answers, StableInFlight: reports.stableInFlight + inFlight,
+		Plan: ro.releases.plan(rec, st), Started: rec.StartedAtMs > 0, RejectionReason: st.rejectionReason,
+		Answers: reports.candidate.Answers + st.health.Answers, StableInFlight: reports.stableInFlight + inFlight,
 	}
 	if pr.RejectionReason == "" {
 		pr.RejectionReason = reports.rejectionReason
